--- a/src/main/java/slipfield/policy/EndpointHealth.java
+++ b/src/main/java/slipfield/policy/EndpointHealth.java
@@ -1,6 +1,6 @@
 package slipfield.policy;
 
-import slipfield.policy.Relay.State;
+import slipfield.policy.DeliveryPolicy.State;
 
 /**
  * One endpoint's health, from the ends of its calls: in service, in an outage (only single trials go there), or back from one and
--- a/src/test/java/slipfield/policy/EndpointHealthTest.java
+++ b/src/test/java/slipfield/policy/EndpointHealthTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import org.junit.jupiter.api.Test;
-import slipfield.policy.Relay.State;
+import slipfield.policy.DeliveryPolicy.State;
 
 /** One endpoint's state, from the ends of its calls. */
 class EndpointHealthTest {
--- a/src/test/java/slipfield/policy/SlowStartTest.java
+++ b/src/test/java/slipfield/policy/SlowStartTest.java
@@ -8,7 +8,7 @@
 
 /** What all senders of a fleet send together to a destination in trials and in a ramp. */
 class SlowStartTest {
-    private static final Relay.ColdStart COLD = new Relay.ColdStart(0.2, 12_000, 2, 1500);
+    private static final DeliveryPolicy.ColdStart COLD = new DeliveryPolicy.ColdStart(0.2, 12_000, 2, 1500);
 
     /** The fleet's rate is within the budget however many share it, but for one trial in 750 ms. */
     @ParameterizedTest
