--- a/src/main/java/slipfield/policy/OutageDetector.java
+++ b/src/main/java/slipfield/policy/OutageDetector.java
@@ -47,7 +47,7 @@
     }
 
     /** What calls came to since the last delivery. */
-    DeliveryPolicy.UndeliveredCalls fruitless() {
+    DeliveryPolicy.UndeliveredCalls undeliveredCalls() {
         return new DeliveryPolicy.UndeliveredCalls(failed, refused, since);
     }
 
--- a/src/main/java/slipfield/policy/SlowStart.java
+++ b/src/main/java/slipfield/policy/SlowStart.java
@@ -39,13 +39,13 @@
     }
 
     /** The rate of single trials at one of so many endpoints of a destination that may be out. */
-    double trialRate(double usual, long endpoints) {
+    double probeRate(double usual, long endpoints) {
         double rate = TRIAL_SHARE * cold.overloadMultiple() * cold.startCapacity() * usual;
         return Math.max(leastRate(endpoints), Math.min(1 / TRIALS_APART_MS, rate));
     }
 
     /** The rate in a ramp, at a time from the return. */
-    double rampRate(double sinceReturnMs, double usual, long endpoints) {
+    double slowStartRate(double sinceReturnMs, double usual, long endpoints) {
         double warm = Math.max(0, Math.min(1, sinceReturnMs / cold.warmUpMs()));
         double capacity = cold.startCapacity() + (1 - cold.startCapacity()) * warm;
         double rate = RAMP_SHARE * cold.overloadMultiple() * capacity * usual;
@@ -54,8 +54,8 @@
     }
 
     /** After how long, from a time in a ramp, the next call falls due: its rate grows meanwhile. */
-    double rampIntervalMs(double sinceReturnMs, double usual, long endpoints) {
-        double rate = rampRate(sinceReturnMs, usual, endpoints);
+    double slowStartIntervalMs(double sinceReturnMs, double usual, long endpoints) {
+        double rate = slowStartRate(sinceReturnMs, usual, endpoints);
         if (sinceReturnMs >= cold.warmUpMs() || usual == 0) {
             return 1 / rate;
         }
--- a/src/main/java/slipfield/policy/WaveDeliveryPolicy.java
+++ b/src/main/java/slipfield/policy/WaveDeliveryPolicy.java
@@ -821,7 +821,7 @@
             if (!outage.suspects()) {
                 outage.suspect(clock);
                 actions.suspicionChanged(new Suspicion(destination.id, true, endpoint, Suspicion.NONE,
-                        outage.fruitless()));
+                        outage.undeliveredCalls()));
             }
         }
 
@@ -951,7 +951,7 @@
                 return (d.type.repeatSafety() == RepeatSafety.UNSAFE ? 1 : -1) * Double.POSITIVE_INFINITY;
             }
             double freeShare = 1 - (double) slotsUsed / settings.slots();
-            return latency * (1 + calls.size()) + health.fruitless() * EndpointHealth.SHUT_MS
+            return latency * (1 + calls.size()) + health.undeliveredCount() * EndpointHealth.SHUT_MS
                     + fee * FEE_MS * freeShare;
         }
 
@@ -964,7 +964,7 @@
             if (!mayJoin()) {
                 latest = new Call(this);
                 limit.sent();
-                health.warmedUp(clock);
+                health.endSlowStartIfDue(clock);
                 nextAt = health.state() == State.UP ? nextAt : nextCallAt();
             }
             latest.items++;
@@ -1039,7 +1039,7 @@
         }
 
         private double trialRate() {
-            return slowStart.trialRate(seenRate(), destination.serving());
+            return slowStart.probeRate(seenRate(), destination.serving());
         }
 
         /** When the next call may go, after one at this time: while it is down, or warming. */
@@ -1048,18 +1048,18 @@
                 return clock + 1 / trialRate();
             }
             double usual = slowStart.usualRate(seenRate(), limitPart());
-            double back = clock - health.warmSince();
-            double interval = slowStart.rampIntervalMs(back, usual, destination.serving());
+            double back = clock - health.recoveredAt();
+            double interval = slowStart.slowStartIntervalMs(back, usual, destination.serving());
             return Math.min(clock + interval, health.warmAt());
         }
 
         void observe(Call call, AttemptEnd end) {
-            UndeliveredCalls before = limit.outage.fruitless();
+            UndeliveredCalls before = limit.outage.undeliveredCalls();
             boolean suspected = limit.outage.suspects();
             count(call, end);
             if (suspected != limit.outage.suspects()) {
                 actions.suspicionChanged(new Suspicion(destination.id, !suspected, entry.id(), end.message(),
-                        suspected ? before : limit.outage.fruitless()));
+                        suspected ? before : limit.outage.undeliveredCalls()));
             }
         }
 
@@ -1122,7 +1122,7 @@
         private void destinationIsOut() {
             boolean lost = !limit.outage.isOnlyUnreachable();
             destination.targets.stream().filter(t -> t.limit == limit)
-                    .forEach(t -> t.health.destinationIsOut(clock, lost));
+                    .forEach(t -> t.health.destinationOutage(clock, lost));
         }
 
         void overdue(Call call) {
@@ -1148,7 +1148,7 @@
 
         private void tellChange(State from, String reason) {
             actions.endpointChanged(new EndpointChange(entry.id(), destination.id, from, health.state(),
-                    reason, limit.outage.fruitless()));
+                    reason, limit.outage.undeliveredCalls()));
         }
 
         private void remember() {
