--- a/src/main/java/slipfield/policy/DeliveryPolicy.java
+++ b/src/main/java/slipfield/policy/DeliveryPolicy.java
@@ -4,166 +4,172 @@
 import java.util.Optional;
 
 /**
- * The decision module's interface: what a sender tells it, what it tells the sender, and the values that
- * pass.
+ * Decides when and to which endpoint each message of a sender is sent. The sender reports events by calling the methods of this
+ * interface; the policy requests network operations through {@link Actions}.
  *
- * <p>Contract. One instance serves one sender and is called from one thread at a time. It has no clock: each
- * event carries the caller's time in milliseconds, which never goes back. Events between two calls of {@link
- * #endIteration} form a turn and share one time; new sends are decided in {@code endIteration} only, so that those of
- * one turn to one endpoint can share a call. {@link Actions} may be called during any event, in the order in
- * which they are meant; an action must not call back into the instance. Equal settings, seed and events give
- * equal actions.
+ * <p>One instance serves one sender and is called from one thread at a time. It reads no clock: each event carries the caller's
+ * time in milliseconds, which must not decrease. All events between two calls of {@link #endIteration} belong to one event-loop
+ * iteration and carry the same time. New sends are decided in {@code endIteration} only, so that messages of one iteration to one
+ * endpoint can share a call. {@link Actions} may be called during any event and must be carried out in the order of the calls; an
+ * action must not call back into the instance. Equal settings, seed and events produce equal actions.
  *
- * <p>Misuse (an unknown message or attempt, a repeated id, a clock that goes back) throws {@link
- * IllegalArgumentException} or {@link IllegalStateException}; what may arrive late by nature (a withdrawal of
- * an ended message, a wake that is no longer needed, a second end of one attempt) is ignored.
+ * <p>Incorrect use (an unknown message or attempt, a repeated id, a decreasing time) throws {@link IllegalArgumentException} or
+ * {@link IllegalStateException}. Events that can legitimately arrive late are ignored: the withdrawal of a message that has
+ * ended, a wake-up that is no longer needed, a second end of one attempt.
  */
 public interface DeliveryPolicy {
-    /** In place of a route: its destination's endpoints share one limit. */
+    /** Passed in place of an endpoint id where all endpoints of the destination share one rate limit. */
     long ALL_ROUTES = -1;
 
-    /** A new instance, with no state; equal settings, seeds and events give equal actions. */
+    /** Creates an instance without any messages or endpoints. The seed determines all random choices. */
     static DeliveryPolicy create(Settings settings, long seed, Actions actions) {
         return new WaveDeliveryPolicy(settings, seed, actions);
     }
 
     /**
-     * The list of endpoints changed: the whole list, or only the entries that differ from the list before.
+     * The endpoint list has changed.
+     *
+     * @param whole true if {@code entries} is the complete list, false if it holds only the entries that differ from the last
+     *     list
      */
     void endpointsChanged(double now, boolean whole, List<Endpoint> entries);
 
     /**
-     * The sender has taken a message; exactly one of delivered, refused or failed ends it before its time is
-     * up.
+     * The sender has accepted a message. Before its deadline it gets exactly one final answer: delivered, refused or failed,
+     * unless it is withdrawn.
      */
     void messageAccepted(double now, Message message);
 
     /**
-     * A message that an earlier life of this sender took comes back from its journal, with the attempts made
-     * then, in their order; further ones are numbered on from these. One that was out when that life ended
-     * may have run; none of them holds a slot or gets an end any more. Messages come in the order taken.
+     * A message that an earlier process of this sender accepted is restored from its journal. Restored messages are reported in
+     * the order in which they were accepted.
+     *
+     * @param attempts the attempts that were made then, in their order. Numbers of further attempts continue from these. An
+     *     attempt that was in flight when the process ended may have run. None of them holds a slot, and no end is reported for
+     *     them
      */
     void messageRestored(double now, Message message, List<PreviousAttempt> attempts);
 
     /**
-     * The health of an endpoint as it was last told by {@link Actions#saveHealth} in an earlier life, with its
-     * time on this life's clock; told before the messages of that life, be the endpoint listed yet or not.
+     * Restores the health of an endpoint as an earlier process last saved it with {@link Actions#saveHealth}, with its time
+     * converted to this process's clock. Called before the messages of that process are restored; the endpoint need not be listed
+     * yet.
      */
     void healthRestored(double now, long endpoint, Health health);
 
     /**
-     * The pace of a destination, or of one of its endpoints where these are separate routes ({@link #ALL_ROUTES}
-     * where not), as it was last told by {@link Actions#saveSendRate} in an earlier life.
+     * Restores the send rate of a destination as an earlier process last saved it with {@link Actions#saveSendRate}.
+     *
+     * @param route the endpoint if the destination's endpoints are separate routes, otherwise {@link #ALL_ROUTES}
      */
-    void sendRateRestored(double now, long destination, long route, SendRate pace);
+    void sendRateRestored(double now, long destination, long route, SendRate rate);
 
-    /**
-     * The sender will stop at this time: no call starts any more that can't be expected to end before it.
-     */
+    /** The sender will stop at the time {@code end}. From now on a call starts only if it is expected to end before then. */
     void shutdownScheduled(double now, double end);
 
     /**
-     * Whether attempts can be recorded from now on. While they can't, none is decided: one that a later life does not know of
-     * could run twice. Messages wait, and end in their time.
+     * Reports whether the journal can record attempts from now on. While it cannot, no attempt is started: after a restart the
+     * process would not know of it, and the message could run twice. Messages wait and get their final answer by their deadline.
      */
     void recordingChanged(double now, boolean possible);
 
     /**
-     * Whether an attempt that is out, and not one byte of it yet, may still begin: its connection took its time, and its
-     * destination may have told a wait meanwhile, or its message be over. False: it ends as {@link AttemptOutcome#NOT_SENT}.
-     * Changes nothing, and takes no turn.
+     * Returns whether an attempt of which no byte has been written yet may still be written. While its connection was being
+     * established, the destination may have requested a delay, or the message may have ended. If false, the caller ends the
+     * attempt as {@link AttemptOutcome#NOT_SENT}. This method changes no state and may be called outside an iteration.
      */
     boolean mayBegin(double now, long message, int attempt);
 
     /**
-     * An attempt has ended; each {@link Actions#send} gets exactly one. A delivered end finishes the message
-     * without a further answer from the module.
+     * An attempt has ended. Each {@link Actions#send} leads to exactly one such event. If the attempt was delivered, the message
+     * is finished and the policy gives no further answer for it.
      */
     void attemptEnded(double now, AttemptEnd end);
 
-    /** Nobody waits for this message any more; no answer is owed. */
+    /** The client has withdrawn the message: it is not sent any more and gets no final answer. */
     void messageWithdrawn(double now, long message);
 
-    /** A wake asked for by {@link Actions#wakeAt} has come; early and stale ones do no harm. */
+    /** The time requested by {@link Actions#wakeAt} has come. Early and outdated calls do no harm. */
     void wake(double now);
 
-    /** All events of this turn have been told: queued sends are decided now. */
+    /** All events of this event-loop iteration have been reported: decides which waiting messages are sent now. */
     void endIteration(double now);
 
-    /** What the module asks of the sender. */
+    /** Operations that the policy requests from the sender. */
     interface Actions {
         /**
-         * Start the next attempt of a message, numbered 0, 1, 2 and so on within it. Sends of one turn to one
-         * endpoint may share a call, up to the kind's batch.
+         * Starts the next attempt of a message. Attempts are numbered 0, 1, 2 and so on within their message. Sends of one
+         * iteration to one endpoint may share a call, up to the batch size of the destination's kind.
          */
-        void send(long message, long endpoint, AttemptTiming within);
+        void send(long message, long endpoint, AttemptTiming timing);
 
-        /** Stop waiting for an attempt that is redundant; its end is still reported. */
+        /** Stops waiting for an attempt whose result is not needed any more. Its end must still be reported. */
         void cancel(long message, int attempt);
 
-        /** Close this sender's idle connections to an endpoint; its next call opens a new one. */
+        /** Closes this sender's idle connections to an endpoint, so that the next call opens a new one. */
         void closeIdle(long endpoint);
 
-        /**
-         * Final: handed back, and trying again is harmless; the client should stay away for the given time.
-         */
-        void refuse(long message, double waitMs);
+        /** Final answer: not delivered, and safe to submit again. The client should wait {@code retryAfterMs} before it does. */
+        void refuse(long message, double retryAfterMs);
 
-        /** Final: given up, with no promise about its effect. */
+        /** Final answer: given up. The message may or may not have taken effect. */
         void fail(long message);
 
-        /** Call {@link DeliveryPolicy#wake} in a turn at or soon after this time. */
+        /** Requests a call of {@link DeliveryPolicy#wake} at this time or soon after it. */
         void wakeAt(double time);
 
-        /**
-         * An endpoint's health has changed: a later life needs to know, if there can be one. Without a
-         * journal there is none.
-         */
+        /** Saves the changed health of an endpoint for the process after a restart. Without a journal nothing is saved. */
         default void saveHealth(long endpoint, Health health) {
         }
 
-        /** The pace of a destination, or of a route, has changed: the same. */
-        default void saveSendRate(long destination, long route, SendRate pace) {
+        /** Saves the changed send rate of a destination or of one of its routes, likewise. */
+        default void saveSendRate(long destination, long route, SendRate rate) {
         }
 
-        /** A line for the people on call. */
+        /** Writes a log line for operators. */
         void log(String text);
 
-        /** What an endpoint is held to be has changed. */
+        /** The state of an endpoint has changed. */
         default void endpointChanged(EndpointChange change) {
             log("endpoint " + change.endpoint() + " " + change.reason());
         }
 
-        /** A destination is suspected of an outage, or no more: below what changes the state of an endpoint. */
+        /** The suspicion of an outage of a destination has begun or ended. The states of its endpoints are unchanged by this. */
         default void suspicionChanged(Suspicion suspicion) {
         }
     }
 
-    /** A change of an endpoint's state, why, and what its destination's calls came to since the last delivery. */
+    /** A change of an endpoint's state, its reason, and the calls to its destination since the last delivery. */
     record EndpointChange(long endpoint, long destination, State from, State to, String reason,
             UndeliveredCalls undeliveredCalls) {
     }
 
-    /** Calls to a destination that failed and were refused since the last one that was delivered; {@code since}: the first. */
+    /**
+     * Counts the failed and the refused calls to a destination since its last delivery; {@code since} is the time of the first.
+     */
     record UndeliveredCalls(int failed, int refused, double since) {
     }
 
     /**
-     * Calls to a destination go out one at a time from now on, or no more do. The endpoint and the message are those of the call
-     * that made the difference; no message where a call is out for long, neither where an earlier life had one.
+     * The beginning or the end of a suspected outage of a destination. While it lasts, calls to the destination are made one at a
+     * time.
+     *
+     * @param endpoint the endpoint of the call that caused the change, or {@link #NONE}
+     * @param message the message of that call, or {@link #NONE} if the cause is an overdue call or an attempt of an earlier
+     *     process
      */
     record Suspicion(long destination, boolean begins, long endpoint, long message, UndeliveredCalls undeliveredCalls) {
-        /** In place of an endpoint or a message. */
+        /** Stands for no endpoint or no message. */
         static final long NONE = -1;
     }
 
-    /** What another attempt of a message may do. */
+    /** Whether a message may be sent again after an attempt that may have run. */
     enum RepeatSafety {
-        /** Repeating is harmless. */
+        /** Repeated attempts are harmless. */
         SAFE,
-        /** The destination drops repeats of the key for a time, within a group of endpoints. */
+        /** The destination drops repeats of the same key for a limited time, in some classes within one zone only. */
         KEYED,
-        /** It must not run twice. */
+        /** The message must not run twice. */
         UNSAFE
     }
 
@@ -171,19 +177,19 @@
     enum AttemptOutcome {
         /** Delivered. */
         DELIVERED(false),
-        /** Answered with an error; it may have run. */
+        /** The destination answered with an error; the message may have run. */
         ERROR(true),
-        /** Turned away unseen: over the limit, queue full or shut. */
+        /** The destination refused the call without processing it: rate limit exceeded, queue full or shut down. */
         FULL(false),
-        /** No answer in time; it may have run or still do so. */
+        /** No answer in time; the message may have run or may still run. */
         TIMED_OUT(true),
-        /** No connection was made. */
+        /** No connection could be established. */
         UNREACHABLE(false),
-        /** The connection broke while the attempt was out; it may have run. */
+        /** The connection broke during the attempt; the message may have run. */
         BROKEN(true),
-        /** Cancelled; it may have run. */
+        /** The sender cancelled the attempt; the message may have run. */
         CANCELLED(true),
-        /** Never sent: no slot was free, or the message was over. */
+        /** Nothing was sent: no slot was free, or the message had ended. */
         NOT_SENT(false);
 
         private final boolean mayHaveRun;
@@ -192,144 +198,185 @@
             this.mayHaveRun = mayHaveRun;
         }
 
-        /** True where the end leaves open whether the message took effect, unless it was delivered. */
+        /** Returns whether an undelivered message may have taken effect all the same. False for {@link #DELIVERED}. */
         public boolean mayHaveRun() {
             return mayHaveRun;
         }
     }
 
     /**
-     * One entry of the list; the endpoints of a destination are the only ones that its messages may go to. One
-     * that is gone, as is any that a whole list does not name, is forgotten before long.
+     * An entry of the endpoint list. Messages for a destination are sent to its endpoints only.
+     *
+     * @param kind index into {@link Settings#kinds}
+     * @param serving false if the endpoint takes no new calls
+     * @param listedRate calls a second that the list states as the limit for all senders together, or 0 if it states none
+     * @param removed true if the endpoint has left the list. Its state is dropped some time later, as is that of an endpoint that
+     *     is missing in a complete list
      */
     record Endpoint(long id, long destination, int kind, int zone, boolean serving, double listedRate,
             boolean removed) {
-        /** A rate that can't be meant counts as none. */
+        /** Replaces a rate that is negative, infinite or not a number by 0. */
         public Endpoint {
             listedRate = listedRate > 0 && listedRate < Double.POSITIVE_INFINITY ? listedRate : 0;
         }
 
-        /** One that is there. */
+        /** An endpoint that is in the list. */
         Endpoint(long id, long destination, int kind, int zone, boolean serving, double listedRate) {
             this(id, destination, kind, zone, serving, listedRate, false);
         }
     }
 
     /**
-     * A message as it was taken. {@code timeLeftMs} is what is left of its class's deadline; {@code key} is
-     * set for classes that keep an order.
+     * An accepted message.
+     *
+     * @param messageClass index into {@link Settings#classes}
+     * @param key the ordering key, required for classes that keep an order
+     * @param timeLeftMs the time left until the deadline
      */
     record Message(long id, int messageClass, int tenant, Optional<String> key, double timeLeftMs,
             long destination) {
     }
 
-    /** An attempt made in an earlier life; {@code sentAt} is on this life's clock, mostly before its start. */
+    /** An attempt made by an earlier process; {@code sentAt} is on this process's clock and usually before its start. */
     record PreviousAttempt(long endpoint, double sentAt, boolean mayHaveRun) {
     }
 
-    /** What an endpoint is held to be. */
+    /** The state that the policy assumes an endpoint to be in. */
     enum State {
         /** In service. */
         UP,
-        /** In an outage: it gets trials only. */
+        /** In an outage: it receives single probes only. */
         DOWN,
-        /** Back from an outage, and cold. */
+        /** Answers again after an outage: its rate is limited by a slow start. */
         WARMING
     }
 
-    /** An endpoint's state, since when, and the rate that it carried for this sender before an outage. */
+    /** An endpoint's state, the time since when it holds, and the rate of this sender's deliveries there before the outage. */
     record Health(State state, double since, double carriedPerMs) {
     }
 
     /**
-     * The end of one attempt. {@code finished} tells that the message needs no further answer; {@code waitMs}
-     * is the wait that a full destination told, or 0; {@code told} what its answer told of its limit.
+     * The end of one attempt.
+     *
+     * @param tookMs the time from the start of the attempt to its end
+     * @param finished whether the message has ended and needs no further answer
+     * @param requestedDelayMs the delay that a refusing endpoint requested (Retry-After), or 0
+     * @param limitReport what the answer reported of the destination's rate limit
      */
     record AttemptEnd(long message, int attempt, AttemptOutcome outcome, double tookMs, boolean finished,
             double requestedDelayMs, LimitReport limitReport) {
-        /** An end that tells nothing of a limit. */
-        AttemptEnd(long message, int attempt, AttemptOutcome outcome, double tookMs, boolean finished, double waitMs) {
-            this(message, attempt, outcome, tookMs, finished, waitMs, LimitReport.NOTHING);
+        /** An end without a report of the rate limit. */
+        AttemptEnd(long message, int attempt, AttemptOutcome outcome, double tookMs, boolean finished, double requestedDelayMs) {
+            this(message, attempt, outcome, tookMs, finished, requestedDelayMs, LimitReport.NOTHING);
         }
     }
 
     /**
-     * What an answer told of its destination's limit: the calls a second that this takes from all senders
-     * together, and the share of them that is left just now. What is no figure, not above 0, or without end
-     * counts as not told: 0 for the rate, -1 for the share, which is 1 at most.
+     * What an answer reported of its destination's rate limit. Values that are not finite numbers or out of range count as not
+     * reported.
+     *
+     * @param perSecond the calls a second that the destination takes from all senders together, or 0 if not reported
+     * @param remainingShare the share of the limit that is unused at the moment, 0 to 1, or -1 if not reported
      */
     record LimitReport(double perSecond, double remainingShare) {
-        /** Nothing was told. */
+        /** Neither value was reported. */
         public static final LimitReport NOTHING = new LimitReport(0, -1);
 
-        /** Takes what can't be meant for not told. */
+        /** Replaces values that are out of range. */
         public LimitReport {
             perSecond = perSecond > 0 && perSecond < Double.POSITIVE_INFINITY ? perSecond : 0;
             remainingShare = perSecond > 0 && remainingShare >= 0 ? Math.min(remainingShare, 1) : -1;
         }
 
-        /** The share that is left, or what stands for its not being told. */
+        /** Returns the remaining share, or {@code fallback} if it was not reported. */
         double remainingShareOr(double fallback) {
             return remainingShare < 0 ? fallback : remainingShare;
         }
     }
 
     /**
-     * A pace in calls a millisecond, infinite where there is none, and the rate that its answers told, or 0.
+     * The rate at which this sender sends to a destination or route, in calls a millisecond.
+     *
+     * @param perMs the rate, infinite if it is not limited
+     * @param reportedPerMs the limit of all senders together that answers reported, or 0 if none was reported
      */
     record SendRate(double perMs, double reportedPerMs) {
     }
 
     /**
-     * Times of an attempt, in milliseconds from when it was decided: its time-out, and until when its last byte
-     * may be written; endless where that does not matter. One that is not under way by then is not made.
+     * Time limits of an attempt, in milliseconds from the time at which it was decided.
+     *
+     * @param timeoutMs the time after which the attempt is given up
+     * @param latestWriteMs the time by which its last byte must be written, infinite if there is no such limit. An attempt that
+     *     cannot meet it is not made
      */
     record AttemptTiming(double timeoutMs, double latestWriteMs) {
     }
 
-    /** What worth falls to after the aim: evenly to the last, or by half with each further aim. */
+    /** How the worth of a message decreases when it is delivered after its target latency, the aim. */
     enum Decay {
-        /** Evenly, down to the late worth at the deadline. */
+        /** Linearly, to the late worth at the deadline. */
         LINEAR,
-        /** By half with each further aim, the late worth at least. */
+        /** Halved with each further aim, but not below the late worth. */
         HALVING
     }
 
     /**
-     * A class of message; times in milliseconds. {@code sameZone}: repeats are dropped within one zone only.
+     * A class of messages. Times are in milliseconds.
+     *
+     * @param aimMs the target latency
+     * @param worth the value of a message that is delivered within the target latency
+     * @param lateWorth the smallest share of {@code worth} that a message keeps until its deadline, 0 to 1
+     * @param sameZone whether the destination recognizes repeats of a key only within one zone
+     * @param deduplicationWindowMs how long the destination recognizes repeats of a key
+     * @param inOrder whether messages of one key are delivered one at a time, in the order of acceptance
      */
     record MessageClass(double aimMs, double deadlineMs, double worth, double lateWorth, RepeatSafety repeatSafety,
                         boolean sameZone, double deduplicationWindowMs, boolean inOrder) {
     }
 
     /**
-     * A kind of destination: whether its endpoints are separate routes, and how many messages one call
-     * carries.
+     * A kind of destination.
+     *
+     * @param separateRoutes whether each endpoint has a rate limit of its own
+     * @param batchSize the largest number of messages in one call
      */
     record Kind(boolean separateRoutes, int batchSize) {
     }
 
     /**
-     * How a destination that returns from an outage must be treated; see the rule on returning destinations.
+     * The load that a destination tolerates after an outage.
+     *
+     * @param startCapacity its capacity right after the return, as a share of its full capacity
+     * @param warmUpMs the time in which the capacity rises linearly to the full value
+     * @param overloadMultiple the multiple of the present capacity above which a destination fails again
+     * @param overloadMs the time span over which that load is counted
      */
     record ColdStart(double startCapacity, double warmUpMs, double overloadMultiple, double overloadMs) {
     }
 
     /**
-     * All settings of a deployment and a sender; {@code zoneFees} are by zone, for separate routes, and
-     * {@code ratesListed} tells that the list's rates mean something; a connection without use closes after
-     * {@code keepAliveMs}.
+     * The settings of a deployment and of one sender.
+     *
+     * @param ratesListed whether the endpoint list states rates
+     * @param zoneFees the fee of a call by zone, charged for separate routes only
+     * @param senders the number of senders in the fleet
+     * @param slots the largest number of calls in flight
+     * @param hedging whether a second attempt may be sent while another one of the message is in flight
+     * @param cancelsRedundant whether attempts in flight may be cancelled
+     * @param keyPauseMs the pause of an ordering key after an attempt that may still be running
+     * @param keepAliveMs the time after which an unused connection is closed
      */
     record Settings(List<MessageClass> classes, List<Kind> kinds, boolean ratesListed, Decay decay,
                     List<Double> zoneFees, int senders, int slots, int maxAttempts, boolean hedging,
                     boolean cancelsRedundant, double keyPauseMs, double keepAliveMs, ColdStart coldStart) {
-        /** Checks what no deployment can mean. */
+        /** Rejects settings without classes or kinds, and numbers below 1. */
         public Settings {
             if (classes.isEmpty() || kinds.isEmpty()) {
-                throw new IllegalArgumentException("settings need at least one class and one kind");
+                throw new IllegalArgumentException("settings need at least one message class and one destination kind");
             }
             if (slots < 1 || maxAttempts < 1 || senders < 1) {
-                throw new IllegalArgumentException("slots, attempts and senders must be at least 1");
+                throw new IllegalArgumentException("slots, maxAttempts and senders must be at least 1");
             }
             classes = List.copyOf(classes);
             kinds = List.copyOf(kinds);
--- a/src/main/java/slipfield/policy/package-info.java
+++ b/src/main/java/slipfield/policy/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The decision module: its interface and its decisions. Pure: no I/O, no clock but the time that it is told, no
- * other package of this program.
+ * Decides which attempts a sender makes: when, to which endpoint, and when a message gets its final answer. The code is
+ * deterministic: it does no I/O, reads no clock but the time passed to it, and depends on no other package of this program.
  */
 package slipfield.policy;
