--- a/src/main/java/slipfield/policy/EndpointHealth.java
+++ b/src/main/java/slipfield/policy/EndpointHealth.java
@@ -3,51 +3,51 @@
 import slipfield.policy.DeliveryPolicy.State;
 
 /**
- * One endpoint's health, from the ends of its calls: in service, in an outage (only single trials go there), or back from one and
- * cold. It holds against endpoints that refuse connections, fail, hang or are shut; it may hurt where one is merely slow.
- * Pure; times in ms.
+ * Tracks the state of one endpoint from the results of its calls: in service, in an outage (only single probes are sent), or
+ * recovering from one. Detects endpoints that refuse connections, fail, hang or are shut down. An endpoint that is only slow may
+ * be taken for one in an outage. Without I/O; times in milliseconds.
  */
 final class EndpointHealth {
-    /** Evidence, 0 to 1: each bad end closes this share of the gap to 1, each good one multiplies it. */
+    /** Evidence of an outage lies between 0 and 1. A failed call closes this share of the gap to 1; a delivery multiplies it. */
     private static final double FAILURE_WEIGHT = 0.2;
     private static final double UNREACHABLE_WEIGHT = 0.6;
-    private static final double GOOD_FACTOR = 0.6;
-    /** From here on an endpoint counts as down: five failures in a row, or a failed connect. */
-    private static final double DOWN_AT = 0.6;
-    /** Overdue calls without any answer since, after which an endpoint counts as silent. */
+    private static final double DELIVERY_FACTOR = 0.6;
+    /** The evidence from which an endpoint counts as down: five failed calls in a row, or one connection that fails. */
+    private static final double DOWN_EVIDENCE = 0.6;
+    /** The number of overdue calls without any delivery since, from which an endpoint counts as silent. */
     private static final int SILENT_CALLS = 2;
-    /** Bad ends or refusals in a row over at least so long, without a delivery, mean shut or dead. */
-    private static final int SHUT_ENDS = 3;
-    static final double SHUT_MS = 2500;
+    /** This many failed or refused calls in a row, over at least this time, mean that the endpoint is down. */
+    private static final int DOWN_CALLS = 3;
+    static final double DOWN_MS = 2500;
 
-    private final double warmMs;
+    private final double warmUpMs;
     private final Listener listener;
     private State state = State.UP;
-    private double bad;
-    private int silentCalls;
-    private int fruitless;
-    private double fruitlessSince;
-    private double fruitlessAt;
-    private double lastGood = Double.NEGATIVE_INFINITY;
+    private double evidence;
+    private int overdueCalls;
+    private int undelivered;
+    private double firstUndeliveredAt;
+    private double lastUndeliveredAt;
+    private double lastDeliveredAt = Double.NEGATIVE_INFINITY;
     private double downAt = Double.NEGATIVE_INFINITY;
-    /** When it went down last, it had been in service for as long as it may stay cold. */
-    private boolean fromService;
-    /** About when it came back; its first answer since, it came back no later. */
-    private double warmSince;
-    private double answeredAt;
-    private boolean silentOnly;
-    /** Since it is down it has failed or refused calls, not only connections. */
-    private boolean failing;
-
-    /** Is told of each change of state, when it is made. */
+    /** When it last went down, it had been in service for longer than a slow start takes. */
+    private boolean wasInService;
+    /** The estimated time of its recovery, and the time of its first delivery after it, which is the latest possible one. */
+    private double recoveredAt;
+    private double firstDeliveryAt;
+    private boolean onlySilent;
+    /** Since it went down it has failed or refused calls, not only connections. */
+    private boolean callsFailed;
+
+    /** Called at each change of state. */
     interface Listener {
         void changed(State from, State to, String reason);
     }
 
-    /** In service, from this time on; it stays cold for so long after an outage. */
-    EndpointHealth(double now, double warmMs, Listener listener) {
-        this.fruitlessAt = now;
-        this.warmMs = warmMs;
+    /** Creates the state of an endpoint in service. The slow start after an outage takes {@code warmUpMs}. */
+    EndpointHealth(double now, double warmUpMs, Listener listener) {
+        this.lastUndeliveredAt = now;
+        this.warmUpMs = warmUpMs;
         this.listener = listener;
     }
 
@@ -55,122 +55,122 @@
         return state;
     }
 
-    /** Failed, refused and overdue calls since the last delivery. */
+    /** Returns the number of failed and refused calls since the last delivery. */
     int undeliveredCount() {
-        return fruitless;
+        return undelivered;
     }
 
-    /** When a call was delivered last, or without end in the past. */
-    double lastGood() {
-        return lastGood;
+    /** Returns the time of the last delivery, or negative infinity if there was none. */
+    double lastDeliveredAt() {
+        return lastDeliveredAt;
     }
 
-    /** About when it came back from its last outage. */
+    /** Returns the estimated time at which its last outage ended. */
     double recoveredAt() {
-        return warmSince;
+        return recoveredAt;
     }
 
-    /** When it is warm at the latest, if it is warming. */
-    double warmAt() {
-        return answeredAt + warmMs;
+    /** Returns the time at which its slow start ends at the latest. Meaningful during a slow start only. */
+    double slowStartEndsAt() {
+        return firstDeliveryAt + warmUpMs;
     }
 
     void delivered(double now, double sentAt) {
-        // No outage that would leave it cold fits between deliveries so close together, unless some calls pass in it.
-        boolean blip = !failing && fromService && now - lastGood < SHUT_MS;
-        bad *= GOOD_FACTOR;
-        silentCalls = 0;
-        fruitless = 0;
-        lastGood = now;
-        if (state == State.DOWN && silentOnly && sentAt < downAt) {
+        // An outage that requires a slow start does not fit between deliveries this close together, unless calls failed in it.
+        boolean tooShortForOutage = !callsFailed && wasInService && now - lastDeliveredAt < DOWN_MS;
+        evidence *= DELIVERY_FACTOR;
+        overdueCalls = 0;
+        undelivered = 0;
+        lastDeliveredAt = now;
+        if (state == State.DOWN && onlySilent && sentAt < downAt) {
             change(State.UP, "was slow, not silent");
-        } else if (state == State.DOWN && blip) {
-            change(State.UP, "was not out");
+        } else if (state == State.DOWN && tooShortForOutage) {
+            change(State.UP, "was not in an outage");
         } else if (state == State.DOWN) {
-            // Back since its last trial, in the mean halfway: thin traffic tries every few seconds.
-            warmSince = now - Math.min(now - fruitlessAt, warmMs) / 2;
-            answeredAt = now;
-            change(State.WARMING, "answers again, warming");
+            // It recovered at some time since its last probe, on average halfway: with little traffic probes are seconds apart.
+            recoveredAt = now - Math.min(now - lastUndeliveredAt, warmUpMs) / 2;
+            firstDeliveryAt = now;
+            change(State.WARMING, "answers again, slow start");
         }
         endSlowStartIfDue(now);
     }
 
-    /** A call was turned away; {@code waitMs} is the wait that was told, or 0. */
-    void refused(double now, double waitMs) {
-        if (lastsFruitless(now) || waitMs >= SHUT_MS) {
-            down(now, "is shut");
-            failing = true;
+    /** A call was refused; {@code requestedDelayMs} is the delay that the endpoint requested, or 0. */
+    void refused(double now, double requestedDelayMs) {
+        if (countUndelivered(now) || requestedDelayMs >= DOWN_MS) {
+            down(now, "refuses all calls");
+            callsFailed = true;
         }
         endSlowStartIfDue(now);
     }
 
     void unreachable(double now) {
-        bad(now, UNREACHABLE_WEIGHT, "refuses connections");
+        failedWith(now, UNREACHABLE_WEIGHT, "refuses connections");
     }
 
-    /** A call was answered with an error, or got no answer. */
+    /** A call was answered with an error or got no answer. */
     void failed(double now) {
-        bad(now, FAILURE_WEIGHT, "loses calls");
-        failing |= state == State.DOWN;
+        failedWith(now, FAILURE_WEIGHT, "calls fail");
+        callsFailed |= state == State.DOWN;
     }
 
-    /** A call is out for longer than a usual answer takes. Returns whether nothing was delivered since it was sent. */
+    /** A call takes longer than its usual answer time. Returns whether nothing was delivered since it was sent. */
     boolean overdue(double now, double sentAt) {
-        if (lastGood >= sentAt) {
+        if (lastDeliveredAt >= sentAt) {
             return false;
         }
-        if (++silentCalls >= SILENT_CALLS) {
+        if (++overdueCalls >= SILENT_CALLS) {
             boolean wasDown = state == State.DOWN;
-            down(now, "is silent");
-            silentOnly = !wasDown;
+            down(now, "does not answer");
+            onlySilent = !wasDown;
         }
         return true;
     }
 
-    /** Its destination is in an outage, as calls to any of its endpoints show; {@code lost}: not only connections failed. */
-    void destinationOutage(double now, boolean lost) {
-        fruitlessAt = now;
-        down(now, "may be out with its destination");
-        failing |= lost;
+    /** Calls to any endpoint of its destination have shown an outage; {@code callsLost} is false if only connections failed. */
+    void destinationOutage(double now, boolean callsLost) {
+        lastUndeliveredAt = now;
+        down(now, "its destination is in an outage");
+        callsFailed |= callsLost;
     }
 
-    /** Its time in the cold may be over though no call has ended meanwhile. */
+    /** Ends the slow start if its time is over, also when no call has ended meanwhile. */
     void endSlowStartIfDue(double now) {
-        if (state == State.WARMING && now >= warmAt()) {
-            change(State.UP, "is warm");
+        if (state == State.WARMING && now >= slowStartEndsAt()) {
+            change(State.UP, "slow start complete");
         }
     }
 
-    /** Goes on where an earlier life ended. */
-    void recall(State before, double since) {
-        state = before;
+    /** Restores the state that an earlier process saved. */
+    void restore(State saved, double since) {
+        state = saved;
         if (state == State.WARMING) {
-            warmSince = since;
-            answeredAt = since;
+            recoveredAt = since;
+            firstDeliveryAt = since;
         }
     }
 
-    private void bad(double now, double weight, String symptom) {
-        bad += (1 - bad) * weight;
-        if (lastsFruitless(now) || bad >= DOWN_AT) {
+    private void failedWith(double now, double weight, String symptom) {
+        evidence += (1 - evidence) * weight;
+        if (countUndelivered(now) || evidence >= DOWN_EVIDENCE) {
             down(now, symptom);
         }
         endSlowStartIfDue(now);
     }
 
-    private boolean lastsFruitless(double now) {
-        fruitlessSince = fruitless++ == 0 ? now : fruitlessSince;
-        fruitlessAt = now;
-        return fruitless >= SHUT_ENDS && now - fruitlessSince >= SHUT_MS;
+    private boolean countUndelivered(double now) {
+        firstUndeliveredAt = undelivered++ == 0 ? now : firstUndeliveredAt;
+        lastUndeliveredAt = now;
+        return undelivered >= DOWN_CALLS && now - firstUndeliveredAt >= DOWN_MS;
     }
 
     private void down(double now, String symptom) {
-        silentOnly = false;
+        onlySilent = false;
         if (state != State.DOWN) {
-            fromService = state == State.UP && now - downAt > warmMs;
+            wasInService = state == State.UP && now - downAt > warmUpMs;
             downAt = now;
-            failing = false;
-            change(State.DOWN, symptom + ", trials only");
+            callsFailed = false;
+            change(State.DOWN, symptom + ", probes only");
         }
     }
 
--- a/src/main/java/slipfield/policy/EventRate.java
+++ b/src/main/java/slipfield/policy/EventRate.java
@@ -1,44 +1,44 @@
 package slipfield.policy;
 
-/** Events a millisecond, averaged with exponential decay over the time in which they were watched. */
+/** Measures a rate of events a millisecond, averaged with exponential decay over the time in which events were observed. */
 final class EventRate {
-    private static final double MEMORY_MS = 10_000;
-    /** A shorter time says nothing about a rate. */
-    private static final double SHORTEST_MS = 2000;
+    private static final double DECAY_MS = 10_000;
+    /** A shorter observation counts as this long, since it says nothing about a rate. */
+    private static final double MIN_OBSERVED_MS = 2000;
 
     private double events;
-    private double watchedMs;
-    private double at;
+    private double observedMs;
+    private double lastAt;
 
-    /** Watches from this time on, in ms. */
+    /** Starts to observe at the time {@code now}, in milliseconds. */
     EventRate(double now) {
-        this.at = now;
+        this.lastAt = now;
     }
 
     void count(double now) {
-        double kept = Math.exp((at - now) / MEMORY_MS);
-        events = events * kept + 1;
-        watchedMs = watchedMs * kept + MEMORY_MS * (1 - kept);
-        at = now;
+        double remaining = Math.exp((lastAt - now) / DECAY_MS);
+        events = events * remaining + 1;
+        observedMs = observedMs * remaining + DECAY_MS * (1 - remaining);
+        lastAt = now;
     }
 
-    /** Watches again after a time that does not count. */
+    /** Continues the observation; the time since the last event is left out. */
     void resume(double now) {
-        at = now;
+        lastAt = now;
     }
 
-    /** Whether anything was counted. */
+    /** Returns whether any event was counted. */
     boolean isKnown() {
         return events > 0;
     }
 
-    /** The rate up to the last event, which is counted: too high by one event in the memory where it is read just after one. */
+    /** Returns the rate including the last event. If read right after an event, it is too high by that one event. */
     double perMs() {
-        return events / Math.max(watchedMs, SHORTEST_MS);
+        return events / Math.max(observedMs, MIN_OBSERVED_MS);
     }
 
-    /** The rate without the last event: unbiased where it is read just after one. */
+    /** Returns the rate without the last event. If read right after an event, it is unbiased. */
     double perMsBeforeLast() {
-        return Math.max(0, events - 1) / Math.max(watchedMs, SHORTEST_MS);
+        return Math.max(0, events - 1) / Math.max(observedMs, MIN_OBSERVED_MS);
     }
 }
--- a/src/main/java/slipfield/policy/OutageDetector.java
+++ b/src/main/java/slipfield/policy/OutageDetector.java
@@ -1,43 +1,50 @@
 package slipfield.policy;
 
 /**
- * Whether a destination may be in an outage, from calls made one after another to any of its endpoints. From the
- * first that fails, until one is delivered, a single call at a time goes out; one more that fails makes the outage
- * sure. Refusals weigh less, since a limit has them too. A sender with thin traffic sees few calls end in an
- * outage, and the rest of the fleet counts on each to slow down. Pure; times in ms.
+ * Detects an outage of a destination from the results of consecutive calls to any of its endpoints. The first failed call makes
+ * the destination suspected: until a call is delivered, calls are made one at a time. One more failed call confirms the outage.
+ * Refusals weigh less, because rate limits cause them too. Few calls are enough, because a sender with little traffic makes few
+ * calls in an outage, and the fleet stays within the load of a recovering destination only if every sender slows down. Without
+ * I/O; times in milliseconds.
  */
 final class OutageDetector {
-    /** From so much evidence on one call goes at a time; with so much an outage is sure. */
-    private static final double SUSPICIOUS = 0.6;
-    private static final double SURE = 1;
-    /** The evidence of one call: failed; refused; refused while its limit is used up. */
+    /** The evidence from which a destination is suspected, and from which the outage is confirmed. */
+    private static final double SUSPECTED = 0.6;
+    private static final double CONFIRMED = 1;
+    /** The evidence of a failed call, of a refused call, and of a call refused while the rate limit is nearly used up. */
     private static final double FAILURE = 0.6;
     private static final double REFUSAL = 0.34;
     private static final double LIMIT_REFUSAL = 0.2;
-    /** With more than this share left, a limit is no sure reason to refuse: what is told is up to a second old. */
-    private static final double LIMIT_LEFT = 0.25;
-    /** Refusals further apart come from two spans of a limit's count, so that one more of them is enough. */
-    private static final double LIMIT_SPAN_MS = 1000;
+    /**
+     * With this share of a rate limit remaining or more, the limit does not explain a refusal. The margin is needed because the
+     * reported share is up to a second old.
+     */
+    private static final double LIMIT_REMAINING = 0.25;
+    /**
+     * Refusals at least this far apart fall into two counting periods of a rate limit, so that the limit does not explain both:
+     * the second one confirms the outage.
+     */
+    private static final double LIMIT_PERIOD_MS = 1000;
 
     private double evidence;
-    private double since;
-    private double countedAt;
+    private double evidenceSince;
+    private double lastCountedAt;
     private int probes;
     private int failed;
     private int refused;
     private int unreachable;
 
-    /** Whether calls since the last delivery are reason enough to send one at a time. */
+    /** Returns whether the destination is suspected, so that calls are made one at a time. */
     boolean suspects() {
-        return evidence >= SUSPICIOUS;
+        return evidence >= SUSPECTED;
     }
 
-    /** Whether the next call may go. */
+    /** Returns whether the next call may be made now. */
     boolean allows() {
         return !suspects() || probes == 0;
     }
 
-    /** A call is sent while an outage is suspected; {@link #probeEnded} follows. */
+    /** A call is made while an outage is suspected; {@link #probeEnded} must follow. */
     void probeSent() {
         probes++;
     }
@@ -46,36 +53,40 @@
         probes--;
     }
 
-    /** What calls came to since the last delivery. */
+    /** Returns the undelivered calls since the last delivery. */
     DeliveryPolicy.UndeliveredCalls undeliveredCalls() {
-        return new DeliveryPolicy.UndeliveredCalls(failed, refused, since);
+        return new DeliveryPolicy.UndeliveredCalls(failed, refused, evidenceSince);
     }
 
-    /** Whether nothing failed since the last delivery but connections that did not come up. */
+    /** Returns whether all undelivered calls since the last delivery failed because no connection could be established. */
     boolean isOnlyUnreachable() {
         return unreachable > 0 && unreachable == failed && refused == 0;
     }
 
-    /** No connection came up for a call: the same as {@link #failed}. */
+    /** No connection could be established for a call; otherwise the same as {@link #failed}. */
     boolean unreachable(double now, double sentAt) {
         unreachable++;
         return failed(now, sentAt);
     }
 
-    /** A call failed. Returns whether it makes the outage sure; calls that were out together count once. */
+    /** A call failed. Returns whether this confirms the outage. Calls that were in flight at the same time count once. */
     boolean failed(double now, double sentAt) {
         failed++;
-        return count(now, sentAt, FAILURE);
+        return addEvidence(now, sentAt, FAILURE);
     }
 
-    /** A call was turned away, and told what share of its limit was left, or less than 0: the same. */
-    boolean refused(double now, double sentAt, double left) {
+    /**
+     * A call was refused. Returns whether this confirms the outage.
+     *
+     * @param remainingShare the reported remaining share of the rate limit, or less than 0 if not reported
+     */
+    boolean refused(double now, double sentAt, double remainingShare) {
         refused++;
-        if (left >= 0 && left < LIMIT_LEFT) {
-            return count(now, sentAt, LIMIT_REFUSAL);
+        if (remainingShare >= 0 && remainingShare < LIMIT_REMAINING) {
+            return addEvidence(now, sentAt, LIMIT_REFUSAL);
         }
-        boolean lasts = evidence > 0 && now - since >= LIMIT_SPAN_MS;
-        return count(now, sentAt, lasts ? SURE : REFUSAL);
+        boolean persists = evidence > 0 && now - evidenceSince >= LIMIT_PERIOD_MS;
+        return addEvidence(now, sentAt, persists ? CONFIRMED : REFUSAL);
     }
 
     void delivered() {
@@ -85,21 +96,21 @@
         unreachable = 0;
     }
 
-    /** A call is out for long, or an earlier life had one that failed or was out when it ended. */
+    /** A call is overdue, or a call of an earlier process failed or was in flight when the process ended. */
     void suspect(double now) {
         if (!suspects()) {
-            count(now, now, SUSPICIOUS - evidence);
+            addEvidence(now, now, SUSPECTED - evidence);
         }
     }
 
-    private boolean count(double now, double sentAt, double weight) {
-        if (evidence > 0 && sentAt < countedAt) {
+    private boolean addEvidence(double now, double sentAt, double weight) {
+        if (evidence > 0 && sentAt < lastCountedAt) {
             return false;
         }
-        since = evidence == 0 ? now : since;
-        countedAt = now;
-        boolean wasSure = evidence >= SURE;
+        evidenceSince = evidence == 0 ? now : evidenceSince;
+        lastCountedAt = now;
+        boolean wasConfirmed = evidence >= CONFIRMED;
         evidence += weight;
-        return !wasSure && evidence >= SURE;
+        return !wasConfirmed && evidence >= CONFIRMED;
     }
 }
--- a/src/main/java/slipfield/policy/SlowStart.java
+++ b/src/main/java/slipfield/policy/SlowStart.java
@@ -1,74 +1,74 @@
 package slipfield.policy;
 
 /**
- * The slow start of what may be, or was, in an outage: how many calls one sender may make so that all senders together stay within
- * what a cold destination bears. Each sender takes the same share of its usual rate, so that the sum needs no agreement. Pure; times in
- * ms, rates in calls a ms.
+ * Limits the calls to a destination that is, or was, in an outage, so that all senders together stay within the load that a
+ * recovering destination tolerates. Each sender reduces its usual rate by the same factor, so the senders need not agree on their
+ * shares. Without side effects; times in milliseconds, rates in calls a millisecond.
  */
 final class SlowStart {
-    /** Trials of the whole fleet are this far apart at the most, however little each sender sends there. */
-    private static final double FLEET_TRIALS_APART_MS = 750;
-    /** One sender tries no more often, however few there are. */
-    private static final double TRIALS_APART_MS = 500;
+    /** The longest mean interval between two probes of the whole fleet, used where senders have little traffic. */
+    private static final double MAX_FLEET_PROBE_INTERVAL_MS = 750;
+    /** The shortest interval between two probes of one sender, also in a small fleet. */
+    private static final double MIN_PROBE_INTERVAL_MS = 500;
     /**
-     * Shares of the budget that a ramp and the trials before it use: the rest is for chance, and for the first calls of
-     * senders that did not meet the outage.
+     * The shares of the tolerated load that the slow start and the probes before it use. The rest is left for random variation
+     * and for the first calls of senders that have not noticed the outage.
      */
-    private static final double RAMP_SHARE = 0.8;
-    private static final double TRIAL_SHARE = 0.78;
-    /** A told limit may use up the ramp's reserve over what was carried or asked for, and no more. */
-    private static final double LIMIT_OVER_SEEN = 1 / RAMP_SHARE;
+    private static final double SLOW_START_SHARE = 0.8;
+    private static final double PROBE_SHARE = 0.78;
+    /** A reported limit may raise the usual rate above the observed one by the reserve of the slow start at most. */
+    private static final double LIMIT_OVER_OBSERVED = 1 / SLOW_START_SHARE;
 
     private final DeliveryPolicy.ColdStart cold;
     private final int senders;
 
-    /** For a fleet of so many senders. */
+    /** Creates the limits for a fleet of the given number of senders. */
     SlowStart(DeliveryPolicy.ColdStart cold, int senders) {
         this.cold = cold;
         this.senders = senders;
     }
 
     /**
-     * What one sender's calls to an endpoint come to when it is warm, as far as is known.
+     * Estimates the rate of one sender's calls to an endpoint at full capacity.
      *
-     * @param seen carried or asked for
-     * @param limitPart this sender's part of a limit, which may lie far above what the destination can do
+     * @param observed the rate that was delivered or requested
+     * @param limitShare this sender's share of a rate limit, which may be far above the destination's capacity
      */
-    double usualRate(double seen, double limitPart) {
-        return Math.max(seen, Math.min(limitPart, LIMIT_OVER_SEEN * seen));
+    double usualRate(double observed, double limitShare) {
+        return Math.max(observed, Math.min(limitShare, LIMIT_OVER_OBSERVED * observed));
     }
 
-    /** The rate of single trials at one of so many endpoints of a destination that may be out. */
+    /** Returns the rate of probes to one of {@code endpoints} endpoints of a destination that may be in an outage. */
     double probeRate(double usual, long endpoints) {
-        double rate = TRIAL_SHARE * cold.overloadMultiple() * cold.startCapacity() * usual;
-        return Math.max(leastRate(endpoints), Math.min(1 / TRIALS_APART_MS, rate));
+        double rate = PROBE_SHARE * cold.overloadMultiple() * cold.startCapacity() * usual;
+        return Math.max(minRate(endpoints), Math.min(1 / MIN_PROBE_INTERVAL_MS, rate));
     }
 
-    /** The rate in a ramp, at a time from the return. */
+    /** Returns the allowed rate at the time {@code sinceReturnMs} after the destination returned. */
     double slowStartRate(double sinceReturnMs, double usual, long endpoints) {
-        double warm = Math.max(0, Math.min(1, sinceReturnMs / cold.warmUpMs()));
-        double capacity = cold.startCapacity() + (1 - cold.startCapacity()) * warm;
-        double rate = RAMP_SHARE * cold.overloadMultiple() * capacity * usual;
-        // Only messages of an earlier life are known here: the pace of trials, until more is seen.
-        return rate == 0 ? leastRate(endpoints) : rate;
+        double warmedShare = Math.max(0, Math.min(1, sinceReturnMs / cold.warmUpMs()));
+        double capacity = cold.startCapacity() + (1 - cold.startCapacity()) * warmedShare;
+        double rate = SLOW_START_SHARE * cold.overloadMultiple() * capacity * usual;
+        // Only messages restored from the journal are known: the rate of probes, until calls or messages are observed.
+        return rate == 0 ? minRate(endpoints) : rate;
     }
 
-    /** After how long, from a time in a ramp, the next call falls due: its rate grows meanwhile. */
+    /** Returns the time until the next call is due; accounts for the rate growing during that time. */
     double slowStartIntervalMs(double sinceReturnMs, double usual, long endpoints) {
         double rate = slowStartRate(sinceReturnMs, usual, endpoints);
         if (sinceReturnMs >= cold.warmUpMs() || usual == 0) {
             return 1 / rate;
         }
-        double slope = RAMP_SHARE * cold.overloadMultiple() * usual * (1 - cold.startCapacity()) / cold.warmUpMs();
+        double slope = SLOW_START_SHARE * cold.overloadMultiple() * usual * (1 - cold.startCapacity()) / cold.warmUpMs();
         return slope == 0 ? 1 / rate : (Math.sqrt(rate * rate + 2 * slope) - rate) / slope;
     }
 
-    /** How long a destination may stay cold after its return. */
-    double warmMs() {
+    /** Returns the time that a destination may need to reach its full capacity after its return. */
+    double warmUpMs() {
         return cold.warmUpMs();
     }
 
-    private double leastRate(long endpoints) {
-        return 1 / (FLEET_TRIALS_APART_MS * senders * endpoints);
+    private double minRate(long endpoints) {
+        return 1 / (MAX_FLEET_PROBE_INTERVAL_MS * senders * endpoints);
     }
 }
--- a/src/main/java/slipfield/policy/WaveDeliveryPolicy.java
+++ b/src/main/java/slipfield/policy/WaveDeliveryPolicy.java
@@ -321,9 +321,9 @@
     @Override
     public void endIteration(double now) {
         tick(now);
-        timers.run(now);
+        timers.runDue(now);
         dispatch();
-        timers.ask(now, nextOpening());
+        timers.requestWake(now, nextOpening());
         turn++;
     }
 
@@ -951,7 +951,7 @@
                 return (d.type.repeatSafety() == RepeatSafety.UNSAFE ? 1 : -1) * Double.POSITIVE_INFINITY;
             }
             double freeShare = 1 - (double) slotsUsed / settings.slots();
-            return latency * (1 + calls.size()) + health.undeliveredCount() * EndpointHealth.SHUT_MS
+            return latency * (1 + calls.size()) + health.undeliveredCount() * EndpointHealth.DOWN_MS
                     + fee * FEE_MS * freeShare;
         }
 
@@ -979,7 +979,7 @@
          */
         boolean hasSlot() {
             int free = settings.slots() - slotsUsed;
-            boolean quick = latency <= QUICK_MS && health.lastGood() > Double.NEGATIVE_INFINITY
+            boolean quick = latency <= QUICK_MS && health.lastDeliveredAt() > Double.NEGATIVE_INFINITY
                     && (calls.isEmpty() || clock - calls.peek().sentAt <= patience());
             return quick && free > 1 || free > 0 && destination.out < Math.max(1, free - 1);
         }
@@ -1050,7 +1050,7 @@
             double usual = slowStart.usualRate(seenRate(), limitPart());
             double back = clock - health.recoveredAt();
             double interval = slowStart.slowStartIntervalMs(back, usual, destination.serving());
-            return Math.min(clock + interval, health.warmAt());
+            return Math.min(clock + interval, health.slowStartEndsAt());
         }
 
         void observe(Call call, AttemptEnd end) {
@@ -1163,7 +1163,7 @@
          * same backlog, at what was never out. It may hurt where an outage began unseen just before the end.
          */
         void recall(Health before) {
-            health.recall(before.state(), before.since());
+            health.restore(before.state(), before.since());
             carriedBefore = before.carriedPerMs();
             if (health.state() != State.UP) {
                 nextAt = health.state() == State.DOWN ? clock + random.nextDouble() / trialRate()
