--- a/src/main/java/slipfield/policy/WaveDeliveryPolicy.java
+++ b/src/main/java/slipfield/policy/WaveDeliveryPolicy.java
@@ -13,148 +13,150 @@
 import java.util.SplittableRandom;
 
 /**
- * The decision module. Its interface, with all types, events and actions, is DeliveryPolicy.java.
+ * Sends messages in waves of attempts. {@link DeliveryPolicy} describes all events, actions and values.
  *
- * <p>A message waits in the queue until {@link #endIteration}, which ranks what waits and gives each
- * message the
- * best endpoint that {@link #maySend} lets pass; the send starts a wave. At a fixed offset a copy joins if
- * the {@link Throttle} allows. The first delivery wins and the rest are cancelled; when every attempt of
- * the wave has ended retryable the message waits again, for a new wave. {@link #finish} gives every final
- * answer.
+ * <p>A message waits in the queue until {@link #endIteration}, which ranks the waiting messages and gives
+ * each the best endpoint that {@link #maySend} permits; the send starts a wave. At a fixed offset a hedged
+ * attempt joins if its {@link SendBudget} allows. The first delivery wins and the other attempts are
+ * cancelled. When every attempt of the wave has ended undelivered, the message waits for a new wave.
+ * {@link #answerUndelivered} gives the final answer of a message that is not delivered.
  *
- * <p>Parts: {@link Delivery} is a message and its wave; {@link Call} what travels together; {@link Limit} the
- * pace and told wait of a destination, or of a route where routes are separate; {@link Target} an endpoint;
- * {@link EndpointHealth}, {@link OutageDetector} and {@link SlowStart} decide what an outage and a return
- * from one allow; {@link Throttle} bounds copies and new tries; {@link
- * Connections} is the trust in idle connections, {@link KeyOrder} the keys in order, {@link Timers} what is
- * due later. All times are milliseconds, all rates calls a millisecond.
+ * <p>Parts: {@link Delivery} is a message and its wave; {@link Call} one network call; {@link RateLimit} the
+ * rate and requested delay of a destination, or of a route where routes are separate; {@link Target} an
+ * endpoint. {@link EndpointHealth}, {@link OutageDetector} and {@link SlowStart} decide which calls an outage
+ * and the recovery from it allow; {@link SendBudget} bounds hedged attempts and retries; {@link Connections}
+ * decides which idle connections are trusted; {@link KeyOrder} keeps the order of keys; {@link Timers} holds
+ * what is due later. Times are in milliseconds, rates in calls a millisecond.
  */
 final class WaveDeliveryPolicy implements DeliveryPolicy {
-    // The wave.
-    /** Share of the aim after which a copy is scheduled (the design's default). */
-    private static final double COPY_OFFSET = 0.5;
-    /** Copies over the period: this many, and this share of the first sends (the design's default). */
-    private static final double COPY_BASE = 1;
-    private static final double COPY_SHARE = 0.1;
-    private static final double THROTTLE_PERIOD_MS = 10_000;
-    /** New waves of refused messages, alike. */
+    // Waves.
+    /** A hedged attempt is scheduled after this share of the aim. */
+    private static final double HEDGE_OFFSET = 0.5;
+    /** Hedged attempts allowed in a budget period: this number plus this share of the first sends. */
+    private static final double HEDGE_BASE = 1;
+    private static final double HEDGE_SHARE = 0.1;
+    private static final double BUDGET_PERIOD_MS = 10_000;
+    /** New waves of refused messages allowed in a budget period, likewise. */
     private static final double RETRY_BASE = 2;
     private static final double RETRY_SHARE = 0.3;
-    /** First pause before a new wave and its growth, lest quick errors or many senders burn all attempts. */
+    /** First backoff and its growth: without it quick errors or many senders would use up all attempts. */
     private static final double BACKOFF_MS = 200;
     private static final double BACKOFF_GROWTH = 3;
-    /** A keyed repeat stays this far inside its window, for the time that it travels. */
+    /** A repeat of a keyed message must be written this long before its window ends, to allow for transit. */
     private static final double WINDOW_MARGIN_MS = 300;
 
-    // Time-outs: the aim and a quarter at least, more where answers are seen to take longer.
+    // Time-outs: at least 1.25 times the aim, more where answers are seen to take longer.
     private static final double TIMEOUT_AIMS = 1.25;
     private static final double TIMEOUT_DEVIATIONS = 8;
-    /** An unsafe message has one try that may run, which may take this share of its deadline at least. */
-    private static final double UNSAFE_PATIENCE = 0.33;
+    /** An unsafe message has one attempt that may run; its time-out is this share of the deadline or more. */
+    private static final double UNSAFE_TIMEOUT_SHARE = 0.33;
     /** Weight of a new answer time in the running mean and deviation. */
     private static final double LATENCY_WEIGHT = 0.15;
-    /** Answer time assumed of an endpoint that has not answered yet. */
-    private static final double FIRST_LATENCY_MS = 250;
-
-    /** An endpoint that answers in so long, in the mean, gives its slots back soon. */
-    private static final double QUICK_MS = 250;
-
-    /** No call is called off for another's sake before it has been out for so long. */
-    private static final double CALL_OFF_LEAST_MS = 200;
-
-    // SendRate.
-    /** A pace is cut to this share: at first of the last second's sends. */
-    private static final double PACE_CUT = 0.7;
-    /** A pace stands for no more than this multiple of what was sent of late: unused, it only grows. */
-    private static final double PACE_OVER_SENT = 1.3;
-    /** Growth of a pace with each delivery. */
-    private static final double PACE_GROWTH = 0.03;
-    /** Longest interval of a pace, lest a sender with little traffic keep its message for long. */
-    private static final double PACE_PAUSE_MS = 500;
-    /** Slowest pace, as a share of the even part of a listed rate, which may be half too high. */
+    /** Answer time assumed for an endpoint that has not answered yet. */
+    private static final double INITIAL_LATENCY_MS = 250;
+
+    /** An endpoint with at most this mean answer time frees its slots soon; see {@link Target#hasSlot}. */
+    private static final double QUICK_LATENCY_MS = 250;
+
+    /** A call is not cancelled to free its slot before it has been in flight for this time. */
+    private static final double MIN_PREEMPT_MS = 200;
+
+    // Send rate.
+    /** A refusal cuts the rate to this share; the first one to this share of the last second's sends. */
+    private static final double RATE_CUT = 0.7;
+    /** A rate counts as at most this multiple of the calls really sent, because an unused rate only grows. */
+    private static final double RATE_OVER_SENT = 1.3;
+    /** Growth of the rate with each delivery. */
+    private static final double RATE_GROWTH = 0.03;
+    /** The longest interval of a rate. A longer one delays messages of a sender with little traffic. */
+    private static final double MAX_SEND_INTERVAL_MS = 500;
+    /** The slowest rate, as a share of the fair share of a listed rate, which may be too high by half. */
     private static final double LISTED_SHARE = 0.5;
-    /** Weight of a newly told rate, which counts as at most so many times more or less than those before. */
-    private static final double TOLD_WEIGHT = 0.5;
-    private static final double TOLD_STEP = 2;
+    /** Weight of a newly reported rate, and the largest factor by which it may differ from the mean. */
+    private static final double REPORT_WEIGHT = 0.5;
+    private static final double MAX_REPORT_STEP = 2;
     /**
-     * SendRate where a limit is told: this sender's even part of it, times so much with nothing left of it
-     * and so
-     * much more with all left. It is the even part itself with half left, as in the mean where all is used.
+     * Where a limit is reported, the rate is the fair share times a factor: EXHAUSTED_FACTOR plus the
+     * remaining share times REMAINING_FACTOR. It is 1 with half of the limit remaining, the mean where all of
+     * it is used.
      */
-    private static final double LEFT_NONE = 0.2;
-    private static final double LEFT_ALL = 1.6;
-    private static final double LEFT_USUAL = 0.5;
-    /** What is told to be left swings with each span of time that a limit counts: its mean over so long. */
-    private static final double LEFT_MEAN_MS = 2000;
+    private static final double EXHAUSTED_FACTOR = 0.2;
+    private static final double REMAINING_FACTOR = 1.6;
+    private static final double USUAL_REMAINING = 0.5;
+    /** A reported remaining share swings within each period of a limit, so it is averaged over this time. */
+    private static final double REPORT_MEAN_MS = 2000;
     /**
-     * Where calls waited for the pace so long, not before, lest all in a clump do, others may be idle: more
-     * for each share left above this, and with each answer, among all senders; half with each refusal.
+     * If calls have waited for the rate this long without a gap, other senders may be idle and the rate
+     * exceeds the fair share. It does not do so earlier, because in a burst all senders would. The excess
+     * grows with the remaining share above UNUSED_REMAINING. It also grows with each answer, by IDLE_GROWTH
+     * divided among all senders; each refusal halves this part.
      */
-    private static final double PRESSED_MS = 1500;
-    private static final double PRESSED_GAP_MS = 30;
-    private static final double LEFT_UNUSED = 0.75;
+    private static final double BACKLOG_MS = 1500;
+    private static final double BACKLOG_GAP_MS = 30;
+    private static final double UNUSED_REMAINING = 0.75;
     private static final double UNUSED_GAIN = 8;
-    private static final double OTHERS_GROWTH = 0.1;
-    /** A later life is told of a pace when it has changed by this share. */
-    private static final double PACE_REMEMBERED = 0.3;
-    /** Idle for so long, a destination loses pace and counts (the design's figure). */
-    private static final double IDLE_MS = 60_000;
+    private static final double IDLE_GROWTH = 0.1;
+    /** A rate is saved for the process after a restart when it has changed by this share. */
+    private static final double SAVE_RATE_CHANGE = 0.3;
+    /** A destination without sends for this time loses its rate and its reported limit. */
+    private static final double IDLE_RESET_MS = 60_000;
 
-    /** A told wait is kept, and a wake counts as come, within this much: clocks are rounded. */
+    /** Clocks are rounded: requested delays are extended by this time; wake-ups may be this much early. */
     private static final double CLOCK_MARGIN_MS = 1;
 
     // Health.
-    private static final double SILENT_DEVIATIONS = 4;
-    /** Share of the messages taken for a destination that it is trusted to carry, if it was not seen to. */
+    private static final double OVERDUE_DEVIATIONS = 4;
+    /** Share of the rate of accepted messages that a destination is assumed to deliver if not seen to. */
     private static final double DEMAND_SHARE = 0.7;
 
-    /** An endpoint that has left the list is forgotten after so long. */
-    private static final double GONE_MS = 30_000;
+    /** The state of an endpoint that has left the list is dropped after this time. */
+    private static final double KEEP_REMOVED_MS = 30_000;
 
     // Connections.
-    /** A connection without use for so long counts as idle. */
-    private static final double IDLE_LEAST_MS = 100;
-    /** Trust after a loss, as a share of the time that the connection had idled; forgotten after so long. */
-    private static final double TRUST_CUT = 0.25;
-    private static final double TRUST_MEMORY_MS = 30_000;
+    /** A connection that was unused for at least this time counts as idle. */
+    private static final double MIN_IDLE_MS = 100;
+    /** After losses, connections idle for over this share of the lost one's idle time are not trusted. */
+    private static final double TRUSTED_IDLE_SHARE = 0.25;
+    /** The losses are forgotten after this time. */
+    private static final double TRUST_RESET_MS = 30_000;
 
     // The queue.
-    /** Rank is the worth lost by waiting so much longer: about as long as a queue under pressure takes. */
+    /** The rank is the worth lost by waiting this much longer, about as long as a queue under load takes. */
     private static final double RANK_HORIZON_MS = 1500;
-    /** Weight of plain worth in the rank, to settle ties between messages that lose nothing yet. */
-    private static final double RANK_WORTH = 0.01;
-    /** Rank of what an earlier life took and did not try, less its deadline: the next to end before all. */
+    /** Weight of the plain worth in the rank. It decides between messages that lose no worth yet. */
+    private static final double RANK_WORTH_WEIGHT = 0.01;
+    /** Rank, less the deadline, of restored messages never tried: before all others, next to expire first. */
     private static final double UNTRIED_RANK = 1e12;
-    /** Time worth a fee of one point: about what a message loses in worth when it waits so long. */
-    private static final double FEE_MS = 25_000;
-    private static final Comparator<Delivery> PRESSING_FIRST =
+    /** The waiting time that a fee of one point equals: in that time a message loses about as much worth. */
+    private static final double FEE_COST_MS = 25_000;
+    private static final Comparator<Delivery> MOST_URGENT_FIRST =
             Comparator.comparingDouble((Delivery d) -> -d.rank).thenComparingDouble(d -> d.aimAt);
-    /** Time before the deadline at which a message that is not out is answered. */
+    /** A message without an attempt in flight gets its final answer this long before its deadline. */
     private static final double ANSWER_MARGIN_MS = 5;
 
     private final Settings settings;
     private final Actions actions;
     private final SplittableRandom random;
-    /** Some calls carry several messages, so that a message can go without a free slot. */
-    private final boolean joins;
+    /** Whether some calls carry several messages, so that a message can be sent without a free slot. */
+    private final boolean batching;
     private final Map<Long, Target> targets = new LinkedHashMap<>();
     private final Map<Long, Destination> destinations = new LinkedHashMap<>();
-    /** What an earlier life knew of endpoints that no list has named in this one. */
-    private final Map<Long, Health> recalled = new LinkedHashMap<>();
-    private final Map<Long, SendRate> recalledRoutes = new LinkedHashMap<>();
+    /** Restored health of endpoints that no endpoint list of this process has named yet. */
+    private final Map<Long, Health> restoredHealth = new LinkedHashMap<>();
+    private final Map<Long, SendRate> restoredRates = new LinkedHashMap<>();
     private final Map<Long, Delivery> deliveries = new LinkedHashMap<>();
     private final Set<Delivery> queue = new LinkedHashSet<>();
-    private final Set<Attempt> out = new LinkedHashSet<>();
+    private final Set<Attempt> attemptsInFlight = new LinkedHashSet<>();
     private final Deque<Double> firstSends = new ArrayDeque<>();
-    private final Throttle copies = new Throttle(COPY_BASE, COPY_SHARE);
-    private final Throttle retries = new Throttle(RETRY_BASE, RETRY_SHARE);
+    private final SendBudget hedges = new SendBudget(HEDGE_BASE, HEDGE_SHARE);
+    private final SendBudget retries = new SendBudget(RETRY_BASE, RETRY_SHARE);
     private final Connections connections = new Connections();
     private final SlowStart slowStart;
     private final KeyOrder keys = new KeyOrder();
     private final Timers timers;
     private int slotsUsed;
-    private long turn;
-    private double closesAt = Double.POSITIVE_INFINITY;
+    private long iteration;
+    private double shutdownAt = Double.POSITIVE_INFINITY;
     private boolean recording = true;
     private double clock = Double.NEGATIVE_INFINITY;
 
@@ -164,16 +166,16 @@
         this.random = new SplittableRandom(seed);
         this.slowStart = new SlowStart(settings.coldStart(), settings.senders());
         this.timers = new Timers(actions::wakeAt, CLOCK_MARGIN_MS);
-        this.joins = settings.kinds().stream().anyMatch(kind -> kind.batchSize() > 1);
+        this.batching = settings.kinds().stream().anyMatch(kind -> kind.batchSize() > 1);
     }
 
     // ---- events ----
 
     @Override
     public void endpointsChanged(double now, boolean whole, List<Endpoint> entries) {
-        tick(now);
+        advanceClock(now);
         if (whole) {
-            targets.values().forEach(Target::leave);
+            targets.values().forEach(Target::markRemoved);
         }
         for (Endpoint entry : entries) {
             Destination destination = destination(entry.destination());
@@ -182,165 +184,165 @@
                 target = new Target(entry, destination);
                 targets.put(entry.id(), target);
                 destination.targets.add(target);
-                Optional.ofNullable(recalled.remove(entry.id())).ifPresent(target::recall);
-                Optional.ofNullable(recalledRoutes.remove(entry.id())).ifPresent(target.limit::recall);
+                Optional.ofNullable(restoredHealth.remove(entry.id())).ifPresent(target::restore);
+                Optional.ofNullable(restoredRates.remove(entry.id())).ifPresent(target.limit::restore);
             }
             target.limit.listedRate = settings.ratesListed() ? entry.listedRate() / 1000 : 0;
             if (entry.removed()) {
-                target.leave();
+                target.markRemoved();
             } else {
                 target.serving = entry.serving();
-                target.goneAt = Double.POSITIVE_INFINITY;
+                target.removedAt = Double.POSITIVE_INFINITY;
             }
         }
-        targets.values().removeIf(t -> t.isForgotten() && t.destination.targets.remove(t));
+        targets.values().removeIf(t -> t.mayBeDropped() && t.destination.targets.remove(t));
     }
 
     @Override
     public void messageAccepted(double now, Message message) {
-        tick(now);
-        take(message).destination.demand.count(clock);
+        advanceClock(now);
+        accept(message).destination.demand.count(clock);
     }
 
-    /** Demand is not counted: what comes back at once was asked for over a time that nobody knows. */
+    /** Restored messages do not count as demand: the period over which they were accepted is unknown. */
     @Override
     public void messageRestored(double now, Message message, List<PreviousAttempt> attempts) {
-        tick(now);
-        Delivery d = take(message);
-        for (PreviousAttempt earlier : attempts) {
-            d.attempts.add(new Attempt(d, Optional.ofNullable(targets.get(earlier.endpoint())), earlier));
+        advanceClock(now);
+        Delivery d = accept(message);
+        for (PreviousAttempt previous : attempts) {
+            d.attempts.add(new Attempt(d, Optional.ofNullable(targets.get(previous.endpoint())), previous));
         }
-        d.foundUntried = attempts.stream().noneMatch(PreviousAttempt::mayHaveRun);
-        keys.resumed(d);
+        d.restoredUntried = attempts.stream().noneMatch(PreviousAttempt::mayHaveRun);
+        keys.restored(d);
         if (!attempts.isEmpty()) {
             d.suspectOutage();
-            giveUpInTime(d);
+            answerIfExhausted(d);
         }
     }
 
     @Override
     public void healthRestored(double now, long endpoint, Health health) {
-        tick(now);
+        advanceClock(now);
         Target target = targets.get(endpoint);
         if (target == null) {
-            recalled.put(endpoint, health);
+            restoredHealth.put(endpoint, health);
         } else {
-            target.recall(health);
+            target.restore(health);
         }
     }
 
     @Override
-    public void sendRateRestored(double now, long destination, long route, SendRate pace) {
-        tick(now);
+    public void sendRateRestored(double now, long destination, long route, SendRate saved) {
+        advanceClock(now);
         if (route == ALL_ROUTES) {
-            destination(destination).shared.recall(pace);
+            destination(destination).shared.restore(saved);
         } else {
-            recalledRoutes.put(route, pace);
+            restoredRates.put(route, saved);
         }
     }
 
     @Override
     public void shutdownScheduled(double now, double end) {
-        tick(now);
-        closesAt = end;
+        advanceClock(now);
+        shutdownAt = end;
     }
 
     @Override
     public void recordingChanged(double now, boolean possible) {
-        tick(now);
+        advanceClock(now);
         recording = possible;
     }
 
-    private Delivery take(Message message) {
+    private Delivery accept(Message message) {
         if (message.messageClass() < 0 || message.messageClass() >= settings.classes().size()) {
-            throw new IllegalArgumentException("unknown class " + message.messageClass());
+            throw new IllegalArgumentException("unknown message class " + message.messageClass());
         }
         if (deliveries.containsKey(message.id())) {
-            throw new IllegalArgumentException("message " + message.id() + " was already taken");
+            throw new IllegalArgumentException("message " + message.id() + " was already accepted");
         }
         Delivery d = new Delivery(message);
         deliveries.put(message.id(), d);
-        keys.taken(d);
+        keys.accepted(d);
         queue.add(d);
-        d.giveUp = timers.add(d.deadline - ANSWER_MARGIN_MS, () -> finish(d));
+        d.deadlineTimer = timers.add(d.deadline - ANSWER_MARGIN_MS, () -> answerUndelivered(d));
         return d;
     }
 
     @Override
     public void attemptEnded(double now, AttemptEnd end) {
-        tick(now);
+        advanceClock(now);
         Delivery d = deliveries.get(end.message());
         if (d == null || end.attempt() < 0 || end.attempt() >= d.attempts.size()) {
             throw new IllegalArgumentException("unknown attempt " + end.attempt() + " of message "
                     + end.message());
         }
         Attempt attempt = d.attempts.get(end.attempt());
-        if (!attempt.out) {
+        if (!attempt.inFlight) {
             return;
         }
-        attempt.out = false;
-        out.remove(attempt);
+        attempt.inFlight = false;
+        attemptsInFlight.remove(attempt);
         attempt.mayHaveRun = end.outcome().mayHaveRun();
-        d.refused = end.outcome() == AttemptOutcome.FULL;
-        d.foundUntried &= end.outcome() == AttemptOutcome.UNREACHABLE
+        d.lastRefused = end.outcome() == AttemptOutcome.FULL;
+        d.restoredUntried &= end.outcome() == AttemptOutcome.UNREACHABLE
                 || end.outcome() == AttemptOutcome.NOT_SENT;
-        d.out--;
-        attempt.call.ifPresent(call -> call.itemEnded(end));
+        d.inFlight--;
+        attempt.call.ifPresent(call -> call.messageEnded(end));
         keys.attemptEnded(d, end.outcome());
         if (end.finished()) {
-            close(d);
+            endMessage(d);
         }
         if (d.ended) {
-            forget(d);
-        } else if (d.out == 0) {
-            nextWave(d);
+            removeIfDone(d);
+        } else if (d.inFlight == 0) {
+            awaitNextWave(d);
         }
     }
 
     @Override
     public boolean mayBegin(double now, long message, int attempt) {
         Delivery d = deliveries.get(message);
-        return !d.ended && d.attempts.get(attempt).target.get().limit.waitUntil <= now;
+        return !d.ended && d.attempts.get(attempt).target.get().limit.delayedUntil <= now;
     }
 
     @Override
     public void messageWithdrawn(double now, long message) {
-        tick(now);
+        advanceClock(now);
         Delivery d = deliveries.get(message);
         if (d != null && !d.ended) {
-            close(d);
-            forget(d);
+            endMessage(d);
+            removeIfDone(d);
         }
     }
 
     @Override
     public void wake(double now) {
-        tick(now);
+        advanceClock(now);
     }
 
     @Override
     public void endIteration(double now) {
-        tick(now);
+        advanceClock(now);
         timers.runDue(now);
-        dispatch();
-        timers.requestWake(now, nextOpening());
-        turn++;
+        sendWaiting();
+        timers.requestWake(now, nextCallTime());
+        iteration++;
     }
 
     private Destination destination(long id) {
         return destinations.computeIfAbsent(id, Destination::new);
     }
 
-    /** Forgets the times that lie further back. */
+    /** Removes the times that are older than {@code periodMs}. */
     private void trim(Deque<Double> times, double periodMs) {
         while (!times.isEmpty() && times.peek() < clock - periodMs) {
             times.remove();
         }
     }
 
-    private void tick(double now) {
+    private void advanceClock(double now) {
         if (now < clock) {
-            throw new IllegalArgumentException("the clock went back");
+            throw new IllegalArgumentException("the time must not decrease");
         }
         clock = now;
     }
@@ -348,158 +350,159 @@
     // ---- decisions ----
 
     /**
-     * Sends what waits, the most pressing first, as far as gates and slots allow. Every turn looks at all
-     * that waits, so it ranks only what its destination's gates and slots let pass: a jam must not take the
-     * CPU too.
+     * Sends waiting messages, the most urgent first, as far as rates, delays, health and slots allow. Each
+     * iteration visits all waiting messages, so it ranks only those whose destination takes calls now: a
+     * backlog must not use up the CPU too.
      */
-    private void dispatch() {
+    private void sendWaiting() {
         List<Delivery> ranked = new ArrayList<>();
-        List<Delivery> lacking = new ArrayList<>();
+        List<Delivery> withoutSlot = new ArrayList<>();
         for (Delivery d : queue) {
             Destination to = d.destination;
-            if (to.seenTurn != turn) {
-                to.seenTurn = turn;
-                to.openInTurn = to.isOpen();
-                to.slotInTurn = joins || to.hasSlot();
+            if (to.seenIteration != iteration) {
+                to.seenIteration = iteration;
+                to.openInIteration = to.isOpen();
+                to.slotInIteration = batching || to.hasSlot();
             }
-            if (to.openInTurn && d.notBefore <= clock) {
-                (to.slotInTurn ? ranked : lacking).add(d);
+            if (to.openInIteration && d.notBefore <= clock) {
+                (to.slotInIteration ? ranked : withoutSlot).add(d);
             }
         }
         ranked.forEach(d -> d.rank = d.rank());
-        ranked.sort(PRESSING_FIRST);
+        ranked.sort(MOST_URGENT_FIRST);
         for (Delivery d : ranked) {
-            if (slotsUsed >= settings.slots() && !joins) {
+            if (slotsUsed >= settings.slots() && !batching) {
                 break;
             }
             if (d.destination.isOpen()) {
-                choose(d, false).ifPresent(target -> send(d, target, false));
+                chooseTarget(d, false).ifPresent(target -> send(d, target, false));
             }
         }
-        lacking.addAll(ranked);
-        if (slotsUsed >= settings.slots() - 1 && lacking.stream().anyMatch(this::lacksSlot)) {
+        withoutSlot.addAll(ranked);
+        if (slotsUsed >= settings.slots() - 1 && withoutSlot.stream().anyMatch(this::needsOnlySlot)) {
             freeSlot();
         }
     }
 
-    /** Whether nothing but a slot keeps it from being sent. */
-    private boolean lacksSlot(Delivery d) {
-        return d.out == 0 && d.destination.targets.stream()
+    /** Returns whether the message could be sent if a slot were free. */
+    private boolean needsOnlySlot(Delivery d) {
+        return d.inFlight == 0 && d.destination.targets.stream()
                 .anyMatch(t -> t.isOpen() && !t.hasSlot() && allows(d, t));
     }
 
     /**
-     * Calls off the call that has been out longest by the measure of its endpoint, if it is out of patience
-     * and may be repeated. Guards against calls that get no answer anywhere: a few in a hundred of them hold
-     * all slots till their time-outs, and what has run out of time meanwhile can't be repeated any more. An
-     * endpoint that is merely slow is given more patience with each call that it has lost in this way.
+     * Cancels the call that is most overdue by its endpoint's usual answer time, if it may be repeated.
+     * Guards against calls that get no answer anywhere: a few in a hundred of them hold all slots till their
+     * time-outs, and messages that expire meanwhile cannot be repeated. A slow endpoint gets more time with
+     * each call cancelled.
      */
     private void freeSlot() {
         if (!settings.cancelsRedundant()) {
             return;
         }
-        Attempt most = null;
-        for (Attempt a : out) {
-            boolean mayBe = !a.calledOff && a.delivery.type.repeatSafety() != RepeatSafety.UNSAFE
-                    && a.overPatience() > 1;
-            if (mayBe && (most == null || a.overPatience() > most.overPatience())) {
-                most = a;
+        Attempt longest = null;
+        for (Attempt a : attemptsInFlight) {
+            boolean eligible = !a.preempted && a.delivery.type.repeatSafety() != RepeatSafety.UNSAFE
+                    && a.overdueRatio() > 1;
+            if (eligible && (longest == null || a.overdueRatio() > longest.overdueRatio())) {
+                longest = a;
             }
         }
-        if (most != null) {
-            most.calledOff = true;
-            most.target.get().calledOff++;
-            actions.cancel(most.delivery.message.id(), most.delivery.attempts.indexOf(most));
+        if (longest != null) {
+            longest.preempted = true;
+            longest.target.get().preemptedCalls++;
+            actions.cancel(longest.delivery.message.id(), longest.delivery.attempts.indexOf(longest));
         }
     }
 
-    /** The endpoint to send to among those that the gate lets pass; a copy goes elsewhere if it can. */
-    private Optional<Target> choose(Delivery d, boolean copy) {
+    /** Returns the permitted endpoint of lowest cost; a hedged attempt goes to another endpoint if it can. */
+    private Optional<Target> chooseTarget(Delivery d, boolean hedge) {
         Target best = null;
-        boolean elsewhere = copy && d.destination.targets.stream().anyMatch(t -> t.serving && !d.isOutAt(t));
+        boolean others = hedge && d.destination.targets.stream().anyMatch(t -> t.serving && !d.isActiveAt(t));
         for (Target target : d.destination.targets) {
-            boolean passed = elsewhere && d.isOutAt(target) || copy && target.health.state() == State.DOWN;
-            if (!passed && maySend(d, target) && (best == null || target.cost(d) < best.cost(d))) {
+            boolean skipped = others && d.isActiveAt(target) || hedge && target.health.state() == State.DOWN;
+            if (!skipped && maySend(d, target) && (best == null || target.cost(d) < best.cost(d))) {
                 best = target;
             }
         }
         return Optional.ofNullable(best);
     }
 
-    /** The gate that every send passes: first send, copy and new wave. */
+    /** The check that every send must pass: first attempt, hedged attempt and new wave. */
     private boolean maySend(Delivery d, Target target) {
-        return allows(d, target) && (target.mayJoin()
+        return allows(d, target) && (target.canJoinCall()
                 || target.hasSlot() && target.isOpen());
     }
 
-    /** The gates that hold for any send of the message there, whether it takes a slot or joins a call. */
+    /** The conditions for any send to the endpoint, whether it takes a slot or joins a call. */
     private boolean allows(Delivery d, Target target) {
         return recording && !d.ended && target.serving
                 && clock < d.deadline - ANSWER_MARGIN_MS
                 && d.attempts.size() < settings.maxAttempts()
                 && mayRepeat(d, target)
-                && keys.mayGo(d)
-                && (!d.refused || d.out > 0 || retries.allows())
-                && target.limit.waitUntil <= clock
-                && clock + target.expectedEnd(d.type) <= closesAt;
+                && keys.isNext(d)
+                && (!d.lastRefused || d.inFlight > 0 || retries.allows())
+                && target.limit.delayedUntil <= clock
+                && clock + target.expectedDurationMs(d.type) <= shutdownAt;
     }
 
-    /** Whether one more attempt there keeps the promise that no effect happens twice. */
+    /** Returns whether one more attempt there keeps the guarantee that no effect happens twice. */
     private boolean mayRepeat(Delivery d, Target target) {
         return mayRepeat(d) && !(d.type.repeatSafety() == RepeatSafety.KEYED && d.type.sameZone()
-                && d.attempts.stream().anyMatch(a -> (a.out || a.mayHaveRun) && !a.isInZoneOf(target)));
+                && d.attempts.stream().anyMatch(a -> (a.inFlight || a.mayHaveRun) && !a.isInZoneOf(target)));
     }
 
-    /** The same wherever the attempt may go, as far as time and effect alone tell. */
+    /** The same for every endpoint, as far as time and repeat safety alone decide. */
     private boolean mayRepeat(Delivery d) {
-        return clock <= repeatUntil(d) && d.attempts.stream().noneMatch(a -> a.out && !settings.hedging()
-                || (a.out || a.mayHaveRun) && d.type.repeatSafety() == RepeatSafety.UNSAFE);
+        return clock <= repeatDeadline(d) && d.attempts.stream().noneMatch(a ->
+                a.inFlight && !settings.hedging()
+                || (a.inFlight || a.mayHaveRun) && d.type.repeatSafety() == RepeatSafety.UNSAFE);
     }
 
-    /** Until when a repeat has to be under way: a keyed message that may have run has its window. */
-    private double repeatUntil(Delivery d) {
+    /** Returns until when a repeat may be written: a keyed message that may have run has its window. */
+    private double repeatDeadline(Delivery d) {
         return d.type.repeatSafety() != RepeatSafety.KEYED ? Double.POSITIVE_INFINITY
-                : d.attempts.stream().filter(a -> a.out || a.mayHaveRun).mapToDouble(a -> a.sentAt).min()
+                : d.attempts.stream().filter(a -> a.inFlight || a.mayHaveRun).mapToDouble(a -> a.sentAt).min()
                 .orElse(Double.POSITIVE_INFINITY) + d.type.deduplicationWindowMs() - WINDOW_MARGIN_MS;
     }
 
-    private void send(Delivery d, Target target, boolean copy) {
-        double writtenMs = repeatUntil(d) - clock;
-        Call call = target.joinOrStart();
+    private void send(Delivery d, Target target, boolean hedge) {
+        double latestWriteMs = repeatDeadline(d) - clock;
+        Call call = target.joinOrStartCall();
         Attempt attempt = new Attempt(d, call);
         d.attempts.add(attempt);
-        out.add(attempt);
-        d.out++;
+        attemptsInFlight.add(attempt);
+        d.inFlight++;
         queue.remove(d);
         keys.attemptSent(d);
-        if (copy) {
-            copies.sent();
+        if (hedge) {
+            hedges.sent();
         } else if (d.attempts.size() == 1) {
             firstSends.add(clock);
-            trim(firstSends, THROTTLE_PERIOD_MS);
-        } else if (d.refused) {
+            trim(firstSends, BUDGET_PERIOD_MS);
+        } else if (d.lastRefused) {
             retries.sent();
         }
-        double timeout = Math.min(target.timeout(d.type), d.deadline - clock);
-        actions.send(d.message.id(), target.entry.id(), new AttemptTiming(timeout, writtenMs));
-        double offset = d.type.aimMs() * COPY_OFFSET;
-        if (settings.hedging() && !copy) {
-            timers.add(clock + offset, () -> offsetPassed(d, attempt));
+        double timeoutMs = Math.min(target.timeoutMs(d.type), d.deadline - clock);
+        actions.send(d.message.id(), target.entry.id(), new AttemptTiming(timeoutMs, latestWriteMs));
+        double offset = d.type.aimMs() * HEDGE_OFFSET;
+        if (settings.hedging() && !hedge) {
+            timers.add(clock + offset, () -> hedgeDue(d, attempt));
         }
-        timers.add(clock + Math.max(offset, target.patience()), call::overdue);
+        timers.add(clock + Math.max(offset, target.overdueAfterMs()), call::checkOverdue);
     }
 
-    /** The scheduled offset after a send: a copy may join the wave. */
-    private void offsetPassed(Delivery d, Attempt attempt) {
-        boolean races = attempt.out && d.type.repeatSafety() != RepeatSafety.UNSAFE;
-        if (races && !d.ended && slotsUsed < settings.slots() && copies.allows()) {
-            choose(d, true).ifPresent(target -> send(d, target, true));
+    /** The hedge offset after a send has passed: a hedged attempt may join the wave. */
+    private void hedgeDue(Delivery d, Attempt attempt) {
+        boolean eligible = attempt.inFlight && d.type.repeatSafety() != RepeatSafety.UNSAFE;
+        if (eligible && !d.ended && slotsUsed < settings.slots() && hedges.allows()) {
+            chooseTarget(d, true).ifPresent(target -> send(d, target, true));
         }
     }
 
-    /** Every attempt has ended retryable: wait for a new wave, unless no further attempt can be allowed. */
-    private void nextWave(Delivery d) {
-        giveUpInTime(d);
+    /** The wave has ended undelivered: waits for a new wave, unless no further attempt is possible. */
+    private void awaitNextWave(Delivery d) {
+        answerIfExhausted(d);
         if (d.ended) {
             return;
         }
@@ -511,49 +514,49 @@
     }
 
     /**
-     * Answers at once what no further attempt can be allowed for: now, or when a keyed message's window has
-     * passed. Guards against an answer that is held back until the deadline, when it is of no more use.
+     * Answers a message that cannot be attempted again: now, or when its deduplication window has passed.
+     * Guards against an answer that is held back until the deadline, when it is of no more use.
      */
-    private void giveUpInTime(Delivery d) {
-        if (!mayGoOn(d)) {
-            finish(d);
-        } else if (repeatUntil(d) < Double.POSITIVE_INFINITY) {
-            timers.add(repeatUntil(d) + CLOCK_MARGIN_MS, () -> {
-                if (!mayGoOn(d)) {
-                    finish(d);
+    private void answerIfExhausted(Delivery d) {
+        if (!mayContinue(d)) {
+            answerUndelivered(d);
+        } else if (repeatDeadline(d) < Double.POSITIVE_INFINITY) {
+            timers.add(repeatDeadline(d) + CLOCK_MARGIN_MS, () -> {
+                if (!mayContinue(d)) {
+                    answerUndelivered(d);
                 }
             });
         }
     }
 
-    /** Whether a further attempt can still be allowed somewhere, be it at an endpoint that is yet to come. */
-    private boolean mayGoOn(Delivery d) {
+    /** Returns whether a further attempt is possible, also at an endpoint that is yet to be listed. */
+    private boolean mayContinue(Delivery d) {
         return d.attempts.size() < settings.maxAttempts() && clock < d.deadline - ANSWER_MARGIN_MS
                 && (d.destination.targets.isEmpty() ? mayRepeat(d)
                         : d.destination.targets.stream().anyMatch(t -> mayRepeat(d, t)));
     }
 
     /**
-     * The final answer of what waits undelivered: refused where trying again is harmless, else failed. A
-     * refused one comes again to any sender, which counts a window from its own first attempt: had it run
-     * before, it would be sent there when the window is over.
+     * Gives the final answer of a message that is not in flight: refused if submitting it again is harmless,
+     * else failed. A keyed message that may have run fails: another sender would count its window from its
+     * own first attempt, and could send it after the real window has ended.
      */
-    private void finish(Delivery d) {
-        if (d.ended || d.out > 0) {
+    private void answerUndelivered(Delivery d) {
+        if (d.ended || d.inFlight > 0) {
             return;
         }
-        if (d.type.repeatSafety() == RepeatSafety.SAFE || d.attempts.stream().noneMatch(a -> a.out
-                || a.mayHaveRun)) {
+        if (d.type.repeatSafety() == RepeatSafety.SAFE
+                || d.attempts.stream().noneMatch(a -> a.inFlight || a.mayHaveRun)) {
             actions.refuse(d.message.id(), Math.max(0, d.destination.opensAt() - clock));
         } else {
             actions.fail(d.message.id());
         }
-        close(d);
-        forget(d);
+        endMessage(d);
+        removeIfDone(d);
     }
 
-    /** Ends a message and cancels what is redundant. */
-    private void close(Delivery d) {
+    /** Ends a message and cancels its attempts that are still in flight. */
+    private void endMessage(Delivery d) {
         if (d.ended) {
             return;
         }
@@ -561,30 +564,30 @@
         queue.remove(d);
         keys.ended(d);
         for (int i = 0; i < d.attempts.size(); i++) {
-            if (d.attempts.get(i).out && settings.cancelsRedundant()) {
+            if (d.attempts.get(i).inFlight && settings.cancelsRedundant()) {
                 actions.cancel(d.message.id(), i);
             }
         }
     }
 
-    private void forget(Delivery d) {
-        if (d.out == 0) {
+    private void removeIfDone(Delivery d) {
+        if (d.inFlight == 0) {
             deliveries.remove(d.message.id());
-            // Else each message would be held in memory till its time, long after its end.
-            timers.cancel(d.giveUp);
+            // Otherwise the timer would keep the message in memory until its deadline, long after its end.
+            timers.cancel(d.deadlineTimer);
         }
     }
 
-    /** When the next gate opens by time alone for a message that waits. */
-    private double nextOpening() {
-        return targets.values().stream().filter(t -> t.destination.seenTurn == turn && t.serving)
-                .mapToDouble(Target::gatesOpenAt).filter(at -> at > clock).min()
+    /** Returns when the next call for a waiting message is allowed by time alone, or infinity. */
+    private double nextCallTime() {
+        return targets.values().stream().filter(t -> t.destination.seenIteration == iteration && t.serving)
+                .mapToDouble(Target::earliestCallAt).filter(at -> at > clock).min()
                 .orElse(Double.POSITIVE_INFINITY);
     }
 
     // ---- parts ----
 
-    /** A message and its wave. */
+    /** A message and its wave of attempts. */
     private final class Delivery {
         final Message message;
         final MessageClass type;
@@ -595,11 +598,11 @@
         double notBefore = Double.NEGATIVE_INFINITY;
         double rank;
         int waves;
-        boolean refused;
-        boolean foundUntried;
-        int out;
+        boolean lastRefused;
+        boolean restoredUntried;
+        int inFlight;
         boolean ended;
-        Timers.Timer giveUp;
+        Timers.Timer deadlineTimer;
 
         Delivery(Message message) {
             this.message = message;
@@ -609,17 +612,18 @@
             this.aimAt = deadline - type.deadlineMs() + type.aimMs();
         }
 
-        /** An earlier life tried it in vain: its destination may be out until a call is delivered. */
+        /** An earlier process could not deliver it: the destination is suspected until a delivery. */
         void suspectOutage() {
             destination.shared.suspect(Suspicion.NONE);
             attempts.forEach(a -> a.target.ifPresent(t -> t.limit.suspect(t.entry.id())));
         }
 
-        boolean isOutAt(Target target) {
-            return attempts.stream().anyMatch(a -> a.out && a.target.filter(t -> t == target).isPresent());
+        boolean isActiveAt(Target target) {
+            return attempts.stream().anyMatch(a ->
+                    a.inFlight && a.target.filter(t -> t == target).isPresent());
         }
 
-        /** Worth when delivered at that time. */
+        /** Returns the worth of a delivery at that time. */
         double worthAt(double time) {
             if (time > deadline) {
                 return 0;
@@ -633,44 +637,44 @@
 
         double rank() {
             double worth = worthAt(clock);
-            return foundUntried ? UNTRIED_RANK - deadline
-                    : worth - worthAt(clock + RANK_HORIZON_MS) + RANK_WORTH * worth;
+            return restoredUntried ? UNTRIED_RANK - deadline
+                    : worth - worthAt(clock + RANK_HORIZON_MS) + RANK_WORTH_WEIGHT * worth;
         }
     }
 
     /**
-     * One attempt of a message; those of an earlier life have no call and hold nothing, and their endpoint
-     * may have left the list since.
+     * One attempt of a message. An attempt of an earlier process has no call and holds no slot, and its
+     * endpoint may have left the list since.
      */
     private final class Attempt {
         final Delivery delivery;
         final Optional<Call> call;
         final Optional<Target> target;
         final double sentAt;
-        boolean out;
+        boolean inFlight;
         boolean mayHaveRun;
-        boolean calledOff;
+        boolean preempted;
 
         Attempt(Delivery delivery, Call call) {
             this.delivery = delivery;
             this.call = Optional.of(call);
             this.target = Optional.of(call.target);
             this.sentAt = call.sentAt;
-            this.out = true;
+            this.inFlight = true;
         }
 
-        Attempt(Delivery delivery, Optional<Target> target, PreviousAttempt earlier) {
+        Attempt(Delivery delivery, Optional<Target> target, PreviousAttempt previous) {
             this.delivery = delivery;
             this.call = Optional.empty();
             this.target = target;
-            this.sentAt = earlier.sentAt();
-            this.mayHaveRun = earlier.mayHaveRun();
+            this.sentAt = previous.sentAt();
+            this.mayHaveRun = previous.mayHaveRun();
         }
 
-        /** How long it has been out, by its endpoint's patience, which grows with calls called off before. */
-        double overPatience() {
+        /** Returns the time in flight, relative to a limit that grows with the endpoint's cancelled calls. */
+        double overdueRatio() {
             return target.map(t -> (clock - sentAt)
-                    / (Math.max(t.patience(), CALL_OFF_LEAST_MS) * (1 + t.calledOff))).orElse(0.0);
+                    / (Math.max(t.overdueAfterMs(), MIN_PREEMPT_MS) * (1 + t.preemptedCalls))).orElse(0.0);
         }
 
         boolean isInZoneOf(Target other) {
@@ -678,145 +682,145 @@
         }
     }
 
-    /** Messages that travel as one: one slot, one fate. */
+    /** One network call with one or more messages. The first result of a message counts for the endpoint. */
     private final class Call {
         final Target target;
         final double sentAt = clock;
-        final long sentTurn = turn;
-        final double idledMs;
-        /** Its endpoint was down: what becomes of it says nothing of others. */
-        final boolean trial;
-        /** It was sent while its destination was suspected. */
-        final boolean probe;
-        int items;
-        int itemsOut;
+        final long sentIteration = iteration;
+        final double idleMs;
+        /** Its endpoint was down when it was sent: its result says nothing about other endpoints. */
+        final boolean downProbe;
+        /** Its destination was suspected when it was sent. */
+        final boolean suspicionProbe;
+        int messages;
+        int messagesInFlight;
         boolean observed;
-        boolean late;
+        boolean overdue;
 
         Call(Target target) {
             this.target = target;
-            this.idledMs = connections.take(target);
-            this.trial = target.health.state() == State.DOWN;
-            this.probe = !trial && target.limit.outage.suspects();
-            if (probe) {
+            this.idleMs = connections.idleMsOfNextCall(target);
+            this.downProbe = target.health.state() == State.DOWN;
+            this.suspicionProbe = !downProbe && target.limit.outage.suspects();
+            if (suspicionProbe) {
                 target.limit.outage.probeSent();
             }
-            target.usedAt = clock;
+            target.lastUsedAt = clock;
             slotsUsed++;
             target.calls.add(this);
-            target.destination.out++;
+            target.destination.callsInFlight++;
         }
 
-        void itemEnded(AttemptEnd end) {
-            itemsOut--;
-            target.limit.told(end.requestedDelayMs());
-            target.limit.says(end);
+        void messageEnded(AttemptEnd end) {
+            messagesInFlight--;
+            target.limit.delayRequested(end.requestedDelayMs());
+            target.limit.limitReported(end);
             if (!observed && end.outcome() != AttemptOutcome.CANCELLED
                     && end.outcome() != AttemptOutcome.NOT_SENT) {
                 observed = true;
-                target.observe(this, end);
+                target.callEnded(this, end);
             }
-            target.usedAt = clock;
-            if (itemsOut == 0) {
-                if (probe) {
+            target.lastUsedAt = clock;
+            if (messagesInFlight == 0) {
+                if (suspicionProbe) {
                     target.limit.outage.probeEnded();
                 }
                 slotsUsed--;
                 target.calls.remove(this);
-                target.destination.out--;
+                target.destination.callsInFlight--;
             }
         }
 
-        void overdue() {
-            if (!late && !observed && itemsOut > 0) {
-                late = true;
-                target.overdue(this);
+        void checkOverdue() {
+            if (!overdue && !observed && messagesInFlight > 0) {
+                overdue = true;
+                target.callOverdue(this);
             }
         }
     }
 
-    /** A destination: its endpoints and, where they share one, its limit. */
+    /** A destination: its endpoints and, where they share one, its rate limit. */
     private final class Destination {
         final long id;
         final List<Target> targets = new ArrayList<>();
-        final Limit shared = new Limit(this, ALL_ROUTES);
+        final RateLimit shared = new RateLimit(this, ALL_ROUTES);
         final EventRate demand = new EventRate(clock);
-        int out;
-        /** The last turn in which a message waited for it; whether gates and slots let calls pass then. */
-        long seenTurn = -1;
-        boolean openInTurn;
-        boolean slotInTurn;
+        int callsInFlight;
+        /** The last iteration in which a message waited for it; whether it took calls and had a slot. */
+        long seenIteration = -1;
+        boolean openInIteration;
+        boolean slotInIteration;
 
         Destination(long id) {
             this.id = id;
         }
 
-        /** Endpoints that share its messages. */
+        /** Returns the number of serving endpoints, but at least 1. */
         long serving() {
             return Math.max(1, targets.stream().filter(t -> t.serving).count());
         }
 
-        /** Whether the pace, waits and health of any of its endpoints let a call pass. */
+        /** Returns whether rate, requested delay and health of any of its endpoints let a call pass. */
         boolean isOpen() {
-            return targets.stream()
-                    .anyMatch(t -> t.serving && (t.mayJoin() || t.limit.waitUntil <= clock && t.isOpen()));
+            return targets.stream().anyMatch(t ->
+                    t.serving && (t.canJoinCall() || t.limit.delayedUntil <= clock && t.isOpen()));
         }
 
-        /** Whether a slot is free for a call to any of its endpoints. */
+        /** Returns whether a slot is free for a call to any of its endpoints. */
         boolean hasSlot() {
             return targets.stream().anyMatch(t -> t.serving && t.hasSlot());
         }
 
-        /** When it is worth coming back: the first opening, or now where none is known. */
+        /** Returns when a client should submit again: at the first possible call, or now if none is known. */
         double opensAt() {
-            return targets.stream().filter(t -> t.serving).mapToDouble(Target::gatesOpenAt).min()
+            return targets.stream().filter(t -> t.serving).mapToDouble(Target::earliestCallAt).min()
                     .orElse(clock);
         }
     }
 
-    /** The pace and told wait of what shares one limit. Guards against refusals and broken waits. */
-    private final class Limit {
+    /** The send rate and requested delay of one limit. Guards against refusals and calls during a delay. */
+    private final class RateLimit {
         final EventRate sends = new EventRate(clock);
-        /** Deliveries while in service. */
-        final EventRate carried = new EventRate(clock);
+        /** Deliveries while the endpoint is in service. */
+        final EventRate deliveryRate = new EventRate(clock);
         final OutageDetector outage = new OutageDetector();
-        final Deque<Double> lastSecond = new ArrayDeque<>();
+        final Deque<Double> sendsOfLastSecond = new ArrayDeque<>();
         final Destination destination;
         final long route;
         double listedRate;
-        double toldRate;
-        double left = LEFT_USUAL;
-        double leftAt = clock;
-        double pressedSince = clock;
-        double others = 1;
+        double reportedRate;
+        double remaining = USUAL_REMAINING;
+        double remainingAt = clock;
+        double backlogSince = clock;
+        double idleFactor = 1;
         double rate = Double.POSITIVE_INFINITY;
-        double nextAt = Double.NEGATIVE_INFINITY;
-        double waitUntil = Double.NEGATIVE_INFINITY;
-        double cutAt = Double.NEGATIVE_INFINITY;
-        double remembered;
+        double nextSendAt = Double.NEGATIVE_INFINITY;
+        double delayedUntil = Double.NEGATIVE_INFINITY;
+        double lastCutAt = Double.NEGATIVE_INFINITY;
+        double savedRate;
 
-        Limit(Destination destination, long route) {
+        RateLimit(Destination destination, long route) {
             this.destination = destination;
             this.route = route;
         }
 
-        /** Goes on where an earlier life ended, lest all that is held be refused once more to find it. */
-        void recall(SendRate pace) {
-            rate = pace.perMs();
-            remembered = rate;
-            toldRate = pace.reportedPerMs();
-            nextAt = clock + random.nextDouble() / rate;
+        /** Restores a saved rate, so that pending messages need no more refusals to find the limit. */
+        void restore(SendRate saved) {
+            rate = saved.perMs();
+            savedRate = rate;
+            reportedRate = saved.reportedPerMs();
+            nextSendAt = clock + random.nextDouble() / rate;
         }
 
-        private void remember() {
-            double known = toldRate > 0 ? evenPart() : rate;
-            if (Math.abs(known - remembered) > PACE_REMEMBERED * remembered) {
-                remembered = known;
-                actions.saveSendRate(destination.id, route, new SendRate(rate, toldRate));
+        private void save() {
+            double known = reportedRate > 0 ? fairShare() : rate;
+            if (Math.abs(known - savedRate) > SAVE_RATE_CHANGE * savedRate) {
+                savedRate = known;
+                actions.saveSendRate(destination.id, route, new SendRate(rate, reportedRate));
             }
         }
 
-        /** Calls go one at a time from now on, until one is delivered. */
+        /** Suspects the destination: calls are made one at a time until one is delivered. */
         void suspect(long endpoint) {
             if (!outage.suspects()) {
                 outage.suspect(clock);
@@ -826,125 +830,129 @@
         }
 
         void sent() {
-            if (!lastSecond.isEmpty() && lastSecond.peekLast() < clock - IDLE_MS) {
+            if (!sendsOfLastSecond.isEmpty() && sendsOfLastSecond.peekLast() < clock - IDLE_RESET_MS) {
                 rate = Double.POSITIVE_INFINITY;
-                toldRate = 0;
-                remember();
+                reportedRate = 0;
+                save();
             }
             sends.count(clock);
-            lastSecond.add(clock);
-            trim(lastSecond, 1000);
+            sendsOfLastSecond.add(clock);
+            trim(sendsOfLastSecond, 1000);
             if (rate < Double.POSITIVE_INFINITY) {
-                pressedSince = nextAt < clock - PRESSED_GAP_MS ? clock : pressedSince;
-                nextAt = Math.max(nextAt, clock) + 1 / rate;
+                backlogSince = nextSendAt < clock - BACKLOG_GAP_MS ? clock : backlogSince;
+                nextSendAt = Math.max(nextSendAt, clock) + 1 / rate;
             }
         }
 
-        /** Each message of a call may be told its own wait, in turns of its own. */
-        void told(double waitMs) {
-            waitUntil = waitMs > 0 ? Math.max(waitUntil, clock + waitMs + CLOCK_MARGIN_MS) : waitUntil;
+        /** Each message of a call may report a delay of its own, in different iterations. */
+        void delayRequested(double delayMs) {
+            delayedUntil = delayMs > 0 ? Math.max(delayedUntil, clock + delayMs + CLOCK_MARGIN_MS)
+                    : delayedUntil;
         }
 
-        /** One answer's figures may be spoilt; a refusal tells that nothing is left, whatever it reports. */
-        void says(AttemptEnd end) {
+        /** A report may be wrong, so its weight is bounded. After a refusal nothing remains in any case. */
+        void limitReported(AttemptEnd end) {
             if (end.limitReport().perSecond() > 0) {
-                double said = end.limitReport().perSecond() / 1000;
-                toldRate = toldRate == 0 ? said : toldRate + TOLD_WEIGHT
-                        * (Math.max(toldRate / TOLD_STEP, Math.min(said, toldRate * TOLD_STEP)) - toldRate);
-                double seen = end.outcome() == AttemptOutcome.FULL ? 0
-                        : end.limitReport().remainingShareOr(LEFT_USUAL);
-                left = seen + (left - seen) * Math.exp((leftAt - clock) / LEFT_MEAN_MS);
-                leftAt = clock;
-                boolean pressed = clock > pressedSince + PRESSED_MS;
-                others = !pressed || end.outcome() == AttemptOutcome.FULL ? Math.max(1, others / 2)
-                        : Math.min(settings.senders(), others * (1 + OTHERS_GROWTH / settings.senders()));
-                rate = evenPart() * (others * (LEFT_NONE + LEFT_ALL * left)
-                        + (pressed ? UNUSED_GAIN * Math.max(0, left - LEFT_UNUSED) : 0));
-                nextAt = Math.min(nextAt, clock + 1 / rate);
-                remember();
+                double reported = end.limitReport().perSecond() / 1000;
+                reportedRate = reportedRate == 0 ? reported : reportedRate + REPORT_WEIGHT * (Math.max(
+                        reportedRate / MAX_REPORT_STEP, Math.min(reported, reportedRate * MAX_REPORT_STEP))
+                        - reportedRate);
+                double observed = end.outcome() == AttemptOutcome.FULL ? 0
+                        : end.limitReport().remainingShareOr(USUAL_REMAINING);
+                remaining = observed
+                        + (remaining - observed) * Math.exp((remainingAt - clock) / REPORT_MEAN_MS);
+                remainingAt = clock;
+                boolean hasBacklog = clock > backlogSince + BACKLOG_MS;
+                idleFactor = !hasBacklog || end.outcome() == AttemptOutcome.FULL ? Math.max(1, idleFactor / 2)
+                        : Math.min(settings.senders(), idleFactor * (1 + IDLE_GROWTH / settings.senders()));
+                rate = fairShare() * (idleFactor * (EXHAUSTED_FACTOR + REMAINING_FACTOR * remaining)
+                        + (hasBacklog ? UNUSED_GAIN * Math.max(0, remaining - UNUSED_REMAINING) : 0));
+                nextSendAt = Math.min(nextSendAt, clock + 1 / rate);
+                save();
             }
         }
 
         /**
-         * Refusals of calls sent before the last cut are old news. Waits of all senders end at one moment:
-         * the pace begins at random after it, lest they all come at once.
+         * Ignores refusals of calls sent before the last cut. Delays requested from all senders end at one
+         * moment, so the next send is at a random time after it; otherwise they would all send at once.
          */
         void refused(Call call) {
-            if (call.sentAt < cutAt) {
+            if (call.sentAt < lastCutAt) {
                 return;
             }
-            if (toldRate == 0) {
-                double sent = rate == Double.POSITIVE_INFINITY ? lastSecond.size() / 1000.0
-                        : Math.min(rate, PACE_OVER_SENT * sends.perMs());
-                rate = Math.max(Math.max(1 / PACE_PAUSE_MS, evenPart()), sent * PACE_CUT);
+            if (reportedRate == 0) {
+                double sent = rate == Double.POSITIVE_INFINITY ? sendsOfLastSecond.size() / 1000.0
+                        : Math.min(rate, RATE_OVER_SENT * sends.perMs());
+                rate = Math.max(Math.max(1 / MAX_SEND_INTERVAL_MS, fairShare()), sent * RATE_CUT);
             }
-            cutAt = clock;
-            nextAt = Math.max(clock, waitUntil) + (0.5 + random.nextDouble()) / rate;
-            remember();
+            lastCutAt = clock;
+            nextSendAt = Math.max(clock, delayedUntil) + (0.5 + random.nextDouble()) / rate;
+            save();
         }
 
         void delivered() {
-            if (toldRate == 0 && rate < Double.POSITIVE_INFINITY) {
-                rate *= 1 + PACE_GROWTH;
-                remember();
+            if (reportedRate == 0 && rate < Double.POSITIVE_INFINITY) {
+                rate *= 1 + RATE_GROWTH;
+                save();
             }
         }
 
-        /** This sender's even part of what the limit is known to take at the least. */
-        double evenPart() {
-            return (toldRate > 0 ? toldRate : LISTED_SHARE * listedRate) / settings.senders();
+        /** Returns this sender's equal share of the rate that the limit is known to allow at least. */
+        double fairShare() {
+            return (reportedRate > 0 ? reportedRate : LISTED_SHARE * listedRate) / settings.senders();
         }
     }
 
     /**
-     * An endpoint: its calls, its usual answer times, and when its health lets the next call go. When it is
-     * down, single trials replace the backlog; when it answers again, a ramp keeps within what it can take.
+     * An endpoint: its calls, its usual answer times, and when its health lets the next call go. While it is
+     * down, single probes replace the backlog; when it answers again, a slow start stays within its capacity.
      */
     private final class Target {
         final Endpoint entry;
         final Destination destination;
-        final Limit limit;
-        final int batch;
+        final RateLimit limit;
+        final int batchSize;
         final double fee;
         final EndpointHealth health;
         boolean serving;
         Call latest;
-        /** Its calls that are out, in the order sent. */
+        /** Its calls in flight, in the order sent. */
         final Deque<Call> calls = new ArrayDeque<>();
-        double latency = FIRST_LATENCY_MS;
-        double deviation = FIRST_LATENCY_MS / 2;
-        int calledOff;
-        /** What it carried before an outage that an earlier life saw. */
-        double carriedBefore;
-        double nextAt = Double.NEGATIVE_INFINITY;
-        double usedAt = Double.NEGATIVE_INFINITY;
-        double goneAt = Double.POSITIVE_INFINITY;
+        double latency = INITIAL_LATENCY_MS;
+        double deviation = INITIAL_LATENCY_MS / 2;
+        int preemptedCalls;
+        /** The delivery rate before an outage that an earlier process saw. */
+        double savedRate;
+        double nextSendAt = Double.NEGATIVE_INFINITY;
+        double lastUsedAt = Double.NEGATIVE_INFINITY;
+        double removedAt = Double.POSITIVE_INFINITY;
 
         Target(Endpoint entry, Destination destination) {
             Kind kind = settings.kinds().get(Math.min(entry.kind(), settings.kinds().size() - 1));
             this.entry = entry;
             this.destination = destination;
-            this.limit = kind.separateRoutes() ? new Limit(destination, entry.id())
+            this.limit = kind.separateRoutes() ? new RateLimit(destination, entry.id())
                     : destination.shared;
-            this.batch = kind.batchSize();
+            this.batchSize = kind.batchSize();
             this.health = new EndpointHealth(clock, settings.coldStart().warmUpMs(), this::healthChanged);
             boolean charged = kind.separateRoutes() && entry.zone() < settings.zoneFees().size();
             this.fee = charged ? settings.zoneFees().get(entry.zone()) : 0;
         }
 
-        void leave() {
+        void markRemoved() {
             serving = false;
-            goneAt = Math.min(goneAt, clock);
+            removedAt = Math.min(removedAt, clock);
         }
 
-        /** A list may leave one out by mistake: what is known of it stands for as long as it can matter. */
-        boolean isForgotten() {
-            return clock > goneAt + GONE_MS && calls.isEmpty() && limit.waitUntil <= clock;
+        /** A list may omit an endpoint by mistake, so its state is kept for as long as it can matter. */
+        boolean mayBeDropped() {
+            return clock > removedAt + KEEP_REMOVED_MS && calls.isEmpty() && limit.delayedUntil <= clock;
         }
 
         /**
-         * What sending there costs in time: the usual answer with its calls out, the last fruitless ends and
-         * the fee. A trial that is due goes first, lest it stay down for ever; unsafe messages avoid it.
+         * Returns the cost of a call in ms: the usual answer time times the calls in flight including this
+         * one, a penalty for undelivered calls, and the fee. A due probe goes first, otherwise the endpoint
+         * would stay down for ever; unsafe messages avoid it.
          */
         double cost(Delivery d) {
             if (health.state() == State.DOWN) {
@@ -952,125 +960,125 @@
             }
             double freeShare = 1 - (double) slotsUsed / settings.slots();
             return latency * (1 + calls.size()) + health.undeliveredCount() * EndpointHealth.DOWN_MS
-                    + fee * FEE_MS * freeShare;
+                    + fee * FEE_COST_MS * freeShare;
         }
 
-        boolean mayJoin() {
-            return latest != null && latest.sentTurn == turn && latest.items < batch
+        boolean canJoinCall() {
+            return latest != null && latest.sentIteration == iteration && latest.messages < batchSize
                     && health.state() != State.DOWN;
         }
 
-        Call joinOrStart() {
-            if (!mayJoin()) {
+        Call joinOrStartCall() {
+            if (!canJoinCall()) {
                 latest = new Call(this);
                 limit.sent();
                 health.endSlowStartIfDue(clock);
-                nextAt = health.state() == State.UP ? nextAt : nextCallAt();
+                nextSendAt = health.state() == State.UP ? nextSendAt : nextCallAt();
             }
-            latest.items++;
-            latest.itemsOut++;
+            latest.messages++;
+            latest.messagesInFlight++;
             return latest;
         }
 
         /**
-         * A destination may hold fewer slots than stay free, lest a slow or silent one holds them all. One
-         * that answers quickly gives them back soon, so it may have all but one: else a quarter of them is
-         * idle beside its queue. It may hurt where it goes silent, until its first call is out of patience.
+         * A destination may hold fewer slots than stay free, so that a slow or silent one does not hold them
+         * all. A quick one frees its slots soon, so it may hold all but one: otherwise a quarter of them is
+         * idle while its messages wait. If it goes silent, it holds them until its first call is overdue.
          */
         boolean hasSlot() {
             int free = settings.slots() - slotsUsed;
-            boolean quick = latency <= QUICK_MS && health.lastDeliveredAt() > Double.NEGATIVE_INFINITY
-                    && (calls.isEmpty() || clock - calls.peek().sentAt <= patience());
-            return quick && free > 1 || free > 0 && destination.out < Math.max(1, free - 1);
+            boolean quick = latency <= QUICK_LATENCY_MS && health.lastDeliveredAt() > Double.NEGATIVE_INFINITY
+                    && (calls.isEmpty() || clock - calls.peek().sentAt <= overdueAfterMs());
+            return quick && free > 1 || free > 0 && destination.callsInFlight < Math.max(1, free - 1);
         }
 
-        /** Whether pace and health let the next call go. */
+        /** Returns whether send rate and health let the next call go. */
         boolean isOpen() {
-            return limit.nextAt <= clock && opensAt() <= clock
+            return limit.nextSendAt <= clock && healthAllowsAt() <= clock
                     && (health.state() == State.DOWN || limit.outage.allows());
         }
 
-        /** When its gates open, as far as time alone opens them. */
-        double gatesOpenAt() {
-            return Math.max(Math.max(limit.waitUntil, limit.nextAt), nextAt);
+        /** Returns when rate, delay and health allow a call, as far as time alone decides. */
+        double earliestCallAt() {
+            return Math.max(Math.max(limit.delayedUntil, limit.nextSendAt), nextSendAt);
         }
 
-        /** When its health lets the next call go. */
-        double opensAt() {
-            return health.state() == State.DOWN && !calls.isEmpty() ? Double.POSITIVE_INFINITY : nextAt;
+        /** Returns when its health lets the next call go. */
+        double healthAllowsAt() {
+            return health.state() == State.DOWN && !calls.isEmpty() ? Double.POSITIVE_INFINITY : nextSendAt;
         }
 
-        /** How long a usual answer may take here. */
-        double patience() {
-            return latency + SILENT_DEVIATIONS * deviation;
+        /** Returns the time that a usual answer may take; a call that takes longer is overdue. */
+        double overdueAfterMs() {
+            return latency + OVERDUE_DEVIATIONS * deviation;
         }
 
         /**
-         * How long a call may be out, as far as can be told before: what can't be repeated is not to be cut
-         * off, so its time-out counts.
+         * Returns how long a call is expected to take at most. A message that cannot be repeated must not be
+         * cut off, so its whole time-out counts.
          */
-        double expectedEnd(MessageClass type) {
-            return type.repeatSafety() == RepeatSafety.UNSAFE ? timeout(type) : patience();
+        double expectedDurationMs(MessageClass type) {
+            return type.repeatSafety() == RepeatSafety.UNSAFE ? timeoutMs(type) : overdueAfterMs();
         }
 
-        double timeout(MessageClass type) {
+        double timeoutMs(MessageClass type) {
             double base = Math.max(type.aimMs() * TIMEOUT_AIMS, latency + TIMEOUT_DEVIATIONS * deviation);
-            double patience = type.repeatSafety() == RepeatSafety.UNSAFE
-                    ? type.deadlineMs() * UNSAFE_PATIENCE : 0;
-            return Math.max(base, patience);
+            double minimum = type.repeatSafety() == RepeatSafety.UNSAFE
+                    ? type.deadlineMs() * UNSAFE_TIMEOUT_SHARE : 0;
+            return Math.max(base, minimum);
         }
 
-        /** What was carried or asked for here; where nothing is known, this sender's part of a limit. */
-        private double seenRate() {
-            double asked = destination.demand.perMsBeforeLast() / destination.serving() * DEMAND_SHARE;
-            double carried = limit.carried.perMsBeforeLast() / sharing();
-            double seen = Math.max(Math.max(carried, carriedBefore), asked);
-            boolean known = limit.carried.isKnown() || destination.demand.isKnown() || carriedBefore > 0;
-            return known ? seen : limitPart();
+        /** Returns the delivered or requested rate; if neither is known, this sender's share of the limit. */
+        private double observedRate() {
+            double requested = destination.demand.perMsBeforeLast() / destination.serving() * DEMAND_SHARE;
+            double delivered = limit.deliveryRate.perMsBeforeLast() / sharingEndpoints();
+            double observed = Math.max(Math.max(delivered, savedRate), requested);
+            boolean known = limit.deliveryRate.isKnown() || destination.demand.isKnown() || savedRate > 0;
+            return known ? observed : limitShare();
         }
 
-        private double limitPart() {
-            return limit.evenPart() / sharing();
+        private double limitShare() {
+            return limit.fairShare() / sharingEndpoints();
         }
 
-        /** The endpoints that share its limit. */
-        private long sharing() {
+        /** Returns the number of endpoints that share its rate limit. */
+        private long sharingEndpoints() {
             return limit == destination.shared ? destination.serving() : 1;
         }
 
-        private double trialRate() {
-            return slowStart.probeRate(seenRate(), destination.serving());
+        private double probeRate() {
+            return slowStart.probeRate(observedRate(), destination.serving());
         }
 
-        /** When the next call may go, after one at this time: while it is down, or warming. */
+        /** Returns when the call after one made now may go, while the endpoint is down or in a slow start. */
         private double nextCallAt() {
             if (health.state() == State.DOWN) {
-                return clock + 1 / trialRate();
+                return clock + 1 / probeRate();
             }
-            double usual = slowStart.usualRate(seenRate(), limitPart());
-            double back = clock - health.recoveredAt();
-            double interval = slowStart.slowStartIntervalMs(back, usual, destination.serving());
+            double usual = slowStart.usualRate(observedRate(), limitShare());
+            double sinceRecovery = clock - health.recoveredAt();
+            double interval = slowStart.slowStartIntervalMs(sinceRecovery, usual, destination.serving());
             return Math.min(clock + interval, health.slowStartEndsAt());
         }
 
-        void observe(Call call, AttemptEnd end) {
+        void callEnded(Call call, AttemptEnd end) {
             UndeliveredCalls before = limit.outage.undeliveredCalls();
             boolean suspected = limit.outage.suspects();
-            count(call, end);
+            recordOutcome(call, end);
             if (suspected != limit.outage.suspects()) {
                 actions.suspicionChanged(new Suspicion(destination.id, !suspected, entry.id(), end.message(),
                         suspected ? before : limit.outage.undeliveredCalls()));
             }
         }
 
-        private void count(Call call, AttemptEnd end) {
+        private void recordOutcome(Call call, AttemptEnd end) {
             switch (end.outcome()) {
                 case DELIVERED -> delivered(call, end);
                 case FULL -> refused(call, end);
                 case UNREACHABLE -> {
                     health.unreachable(clock);
-                    if (!call.trial && limit.outage.unreachable(clock, call.sentAt)) {
-                        destinationIsOut();
+                    if (!call.downProbe && limit.outage.unreachable(clock, call.sentAt)) {
+                        confirmOutage();
                     }
                 }
                 case ERROR -> {
@@ -1078,10 +1086,10 @@
                     failed(call);
                 }
                 default -> {
-                    connections.lost(call);
+                    connections.callLost(call);
                     health.failed(clock);
-                    // A call that had less time than a usual answer takes tells nothing of its destination.
-                    if (end.outcome() != AttemptOutcome.TIMED_OUT || end.tookMs() >= patience()) {
+                    // A call that had less time than a usual answer takes says nothing about its destination.
+                    if (end.outcome() != AttemptOutcome.TIMED_OUT || end.tookMs() >= overdueAfterMs()) {
                         failed(call);
                     }
                 }
@@ -1090,12 +1098,12 @@
 
         private void delivered(Call call, AttemptEnd end) {
             boolean wasDown = health.state() == State.DOWN;
-            connections.held(call);
-            calledOff = 0;
+            connections.callDelivered(call);
+            preemptedCalls = 0;
             deviation += LATENCY_WEIGHT * (Math.abs(end.tookMs() - latency) - deviation);
             latency += LATENCY_WEIGHT * (end.tookMs() - latency);
             if (health.state() == State.UP) {
-                limit.carried.count(clock);
+                limit.deliveryRate.count(clock);
             }
             limit.outage.delivered();
             health.delivered(clock, call.sentAt);
@@ -1108,26 +1116,27 @@
         private void refused(Call call, AttemptEnd end) {
             limit.refused(call);
             health.refused(clock, end.requestedDelayMs());
-            if (!call.trial && limit.outage.refused(clock, call.sentAt, end.limitReport().remainingShare())) {
-                destinationIsOut();
+            if (!call.downProbe
+                    && limit.outage.refused(clock, call.sentAt, end.limitReport().remainingShare())) {
+                confirmOutage();
             }
         }
 
         private void failed(Call call) {
-            if (!call.trial && limit.outage.failed(clock, call.sentAt)) {
-                destinationIsOut();
+            if (!call.downProbe && limit.outage.failed(clock, call.sentAt)) {
+                confirmOutage();
             }
         }
 
-        private void destinationIsOut() {
-            boolean lost = !limit.outage.isOnlyUnreachable();
+        private void confirmOutage() {
+            boolean callsLost = !limit.outage.isOnlyUnreachable();
             destination.targets.stream().filter(t -> t.limit == limit)
-                    .forEach(t -> t.health.destinationOutage(clock, lost));
+                    .forEach(t -> t.health.destinationOutage(clock, callsLost));
         }
 
-        void overdue(Call call) {
-            connections.lost(call);
-            if (health.overdue(clock, call.sentAt) && !call.trial) {
+        void callOverdue(Call call) {
+            connections.callLost(call);
+            if (health.overdue(clock, call.sentAt) && !call.downProbe) {
                 limit.suspect(entry.id());
             }
         }
@@ -1135,169 +1144,172 @@
         private void healthChanged(State from, State to, String reason) {
             switch (to) {
                 case UP -> {
-                    nextAt = clock;
-                    limit.carried.resume(clock);
+                    nextSendAt = clock;
+                    limit.deliveryRate.resume(clock);
                 }
-                case DOWN -> nextAt = Math.max(clock, limit.waitUntil) + random.nextDouble() / trialRate();
-                case WARMING -> nextAt = nextCallAt();
+                case DOWN -> nextSendAt =
+                        Math.max(clock, limit.delayedUntil) + random.nextDouble() / probeRate();
+                case WARMING -> nextSendAt = nextCallAt();
                 default -> throw new IllegalStateException("unknown state " + to);
             }
-            tellChange(from, reason);
-            remember();
+            reportChange(from, reason);
+            save();
         }
 
-        private void tellChange(State from, String reason) {
+        private void reportChange(State from, String reason) {
             actions.endpointChanged(new EndpointChange(entry.id(), destination.id, from, health.state(),
                     reason, limit.outage.undeliveredCalls()));
         }
 
-        private void remember() {
-            double carried = limit.carried.perMsBeforeLast() / sharing();
-            actions.saveHealth(entry.id(), new Health(health.state(), clock, Math.max(carried,
-                    carriedBefore)));
+        private void save() {
+            double delivered = limit.deliveryRate.perMsBeforeLast() / sharingEndpoints();
+            actions.saveHealth(entry.id(), new Health(health.state(), clock, Math.max(delivered, savedRate)));
         }
 
         /**
-         * Goes on where an earlier life ended. Guards against a restart in an outage, which would send all
-         * that is held at once to what may just be coming back cold; and against trials and a ramp, for the
-         * same backlog, at what was never out. It may hurt where an outage began unseen just before the end.
+         * Restores saved health. Guards against a restart in an outage, which would send all pending messages
+         * at once to a recovering endpoint; and against probes and a slow start, for that backlog, at one
+         * that was never in an outage. An outage that began unnoticed just before the process ended is not
+         * known.
          */
-        void recall(Health before) {
-            health.restore(before.state(), before.since());
-            carriedBefore = before.carriedPerMs();
+        void restore(Health saved) {
+            health.restore(saved.state(), saved.since());
+            savedRate = saved.carriedPerMs();
             if (health.state() != State.UP) {
-                nextAt = health.state() == State.DOWN ? clock + random.nextDouble() / trialRate()
+                nextSendAt = health.state() == State.DOWN ? clock + random.nextDouble() / probeRate()
                         : clock + random.nextDouble() * (nextCallAt() - clock);
-                tellChange(State.UP, "was " + health.state() + " before the restart");
+                reportChange(State.UP, "was " + health.state() + " before the restart");
             }
         }
     }
 
     /**
-     * How long a connection may idle before it is not trusted. Guards against connections that are dropped
-     * unseen: after losses on idle ones at two destinations, connections that idled nearly so long are closed
-     * before the next call, until a delivery over one that idled as long comes in. It holds whatever drops
-     * them; it costs set-ups where calls are lost for another reason.
+     * Decides which idle connections are trusted. Guards against connections that are dropped unnoticed:
+     * after losses on idle ones at two destinations, connections idle for nearly as long are closed before
+     * the next call, until a call over one idle as long is delivered. This works whatever drops them; it
+     * costs new connections where calls are lost for another reason.
      */
     private final class Connections {
-        private Optional<Call> suspect = Optional.empty();
+        private Optional<Call> lostCall = Optional.empty();
         private double lostAt = Double.NEGATIVE_INFINITY;
-        private boolean sure;
-
-        /** How long the connection that a call now takes has idled: 0 for one in use, or a new one. */
-        double take(Target target) {
-            double idle = !target.calls.isEmpty() ? 0 : clock - target.usedAt;
-            if (clock > lostAt + TRUST_MEMORY_MS) {
-                suspect = Optional.empty();
-                sure = false;
+        private boolean certain;
+
+        /** Returns how long the connection that a call now uses was idle: 0 for one in use, or a new one. */
+        double idleMsOfNextCall(Target target) {
+            double idle = !target.calls.isEmpty() ? 0 : clock - target.lastUsedAt;
+            if (clock > lostAt + TRUST_RESET_MS) {
+                lostCall = Optional.empty();
+                certain = false;
             }
-            if (idle < IDLE_LEAST_MS || idle >= settings.keepAliveMs()) {
+            if (idle < MIN_IDLE_MS || idle >= settings.keepAliveMs()) {
                 return 0;
             }
-            if (sure && suspect.filter(s -> idle > s.idledMs * TRUST_CUT).isPresent()) {
+            if (certain && lostCall.filter(s -> idle > s.idleMs * TRUSTED_IDLE_SHARE).isPresent()) {
                 actions.closeIdle(target.entry.id());
                 return 0;
             }
             return idle;
         }
 
-        void lost(Call call) {
-            if (call.idledMs > 0) {
-                sure |= suspect.filter(s -> s.target.destination != call.target.destination).isPresent();
-                suspect = suspect.filter(s -> s.idledMs < call.idledMs).or(() -> Optional.of(call));
+        void callLost(Call call) {
+            if (call.idleMs > 0) {
+                certain |= lostCall.filter(s -> s.target.destination != call.target.destination).isPresent();
+                lostCall = lostCall.filter(s -> s.idleMs < call.idleMs).or(() -> Optional.of(call));
                 lostAt = clock;
             }
         }
 
-        void held(Call call) {
-            suspect = suspect.filter(s -> s != call && (call.late || call.idledMs < s.idledMs));
-            sure &= suspect.isPresent();
+        void callDelivered(Call call) {
+            lostCall = lostCall.filter(s -> s != call && (call.overdue || call.idleMs < s.idleMs));
+            certain &= lostCall.isPresent();
         }
     }
 
     /**
-     * Bounds extra sends, over all destinations, by a share of first sends: copies, lest a slow one double
-     * the load, and new waves of refused messages, as refused calls may use up a limit for good.
+     * Bounds additional sends over all destinations by a share of first sends: hedged attempts, because a
+     * slow destination would get twice the load, and retries, because refused calls may use up a limit for
+     * good.
      */
-    private final class Throttle {
+    private final class SendBudget {
         private final double base;
         private final double share;
         private final Deque<Double> extra = new ArrayDeque<>();
 
-        Throttle(double base, double share) {
+        SendBudget(double base, double share) {
             this.base = base;
             this.share = share;
         }
 
         void sent() {
             extra.add(clock);
-            timers.add(clock + THROTTLE_PERIOD_MS + CLOCK_MARGIN_MS, () -> trim(extra, THROTTLE_PERIOD_MS));
+            timers.add(clock + BUDGET_PERIOD_MS + CLOCK_MARGIN_MS, () -> trim(extra, BUDGET_PERIOD_MS));
         }
 
         boolean allows() {
-            trim(extra, THROTTLE_PERIOD_MS);
-            trim(firstSends, THROTTLE_PERIOD_MS);
+            trim(extra, BUDGET_PERIOD_MS);
+            trim(firstSends, BUDGET_PERIOD_MS);
             return extra.size() + 1 <= base + share * firstSends.size();
         }
     }
 
-    /** Messages in order by key: one at a time, as taken, and a rest after an end that may still run. */
+    /** Sends messages of a key one at a time, as accepted; pauses after an attempt that may still run. */
     private final class KeyOrder {
-        private final Map<String, Line> lines = new LinkedHashMap<>();
+        private final Map<String, KeyQueue> queues = new LinkedHashMap<>();
 
-        private static final class Line {
+        private static final class KeyQueue {
             final Deque<Delivery> waiting = new ArrayDeque<>();
-            double restUntil = Double.NEGATIVE_INFINITY;
-            int out;
+            double pausedUntil = Double.NEGATIVE_INFINITY;
+            int inFlight;
         }
 
-        private Optional<Line> line(Delivery d) {
-            return d.type.inOrder() ? d.message.key().map(lines::get) : Optional.empty();
+        private Optional<KeyQueue> queueOf(Delivery d) {
+            return d.type.inOrder() ? d.message.key().map(queues::get) : Optional.empty();
         }
 
-        void taken(Delivery d) {
+        void accepted(Delivery d) {
             if (d.type.inOrder()) {
-                d.message.key().ifPresent(key -> lines.computeIfAbsent(key, k -> new Line()).waiting.add(d));
+                d.message.key().ifPresent(key ->
+                        queues.computeIfAbsent(key, k -> new KeyQueue()).waiting.add(d));
             }
         }
 
-        /** What was out in an earlier life may run on, so its key rests. */
-        void resumed(Delivery d) {
+        /** An attempt that an earlier process had in flight may still be running, so its key pauses. */
+        void restored(Delivery d) {
             if (d.attempts.stream().anyMatch(a -> a.mayHaveRun)) {
-                line(d).ifPresent(l -> l.restUntil = clock + settings.keyPauseMs());
-                timers.add(clock + settings.keyPauseMs(), () -> drop(d));
+                queueOf(d).ifPresent(q -> q.pausedUntil = clock + settings.keyPauseMs());
+                timers.add(clock + settings.keyPauseMs(), () -> removeQueueIfEmpty(d));
             }
         }
 
-        boolean mayGo(Delivery d) {
+        boolean isNext(Delivery d) {
             return !d.type.inOrder()
-                    || line(d).map(l -> l.waiting.peek() == d && l.out == d.out && l.restUntil <= clock)
-                    .orElse(true);
+                    || queueOf(d).map(q -> q.waiting.peek() == d && q.inFlight == d.inFlight
+                            && q.pausedUntil <= clock).orElse(true);
         }
 
         void attemptSent(Delivery d) {
-            line(d).ifPresent(l -> l.out++);
+            queueOf(d).ifPresent(q -> q.inFlight++);
         }
 
         void attemptEnded(Delivery d, AttemptOutcome outcome) {
-            line(d).ifPresent(l -> {
-                l.out--;
+            queueOf(d).ifPresent(q -> {
+                q.inFlight--;
                 if (outcome.mayHaveRun() && outcome != AttemptOutcome.ERROR) {
-                    l.restUntil = clock + settings.keyPauseMs();
-                    timers.add(l.restUntil, () -> drop(d));
+                    q.pausedUntil = clock + settings.keyPauseMs();
+                    timers.add(q.pausedUntil, () -> removeQueueIfEmpty(d));
                 }
-                drop(d);
+                removeQueueIfEmpty(d);
             });
         }
 
         void ended(Delivery d) {
-            line(d).ifPresent(l -> l.waiting.remove(d));
-            drop(d);
+            queueOf(d).ifPresent(q -> q.waiting.remove(d));
+            removeQueueIfEmpty(d);
         }
 
-        private void drop(Delivery d) {
-            line(d).filter(l -> l.waiting.isEmpty() && l.out == 0 && l.restUntil <= clock)
-                    .ifPresent(l -> lines.remove(d.message.key().get()));
+        private void removeQueueIfEmpty(Delivery d) {
+            queueOf(d).filter(q -> q.waiting.isEmpty() && q.inFlight == 0 && q.pausedUntil <= clock)
+                    .ifPresent(q -> queues.remove(d.message.key().get()));
         }
     }
 }
