--- a/src/main/java/slipfield/policy/DeliveryPolicy.java
+++ b/src/main/java/slipfield/policy/DeliveryPolicy.java
@@ -189,7 +189,7 @@
         BROKEN(true),
         /** The sender cancelled the attempt; the message may have run. */
         CANCELLED(true),
-        /** Nothing was sent: no slot was free, or the message had ended. */
+        /** Never sent, for example because no slot was free or the message had ended. */
         NOT_SENT(false);
 
         private final boolean mayHaveRun;
@@ -230,7 +230,7 @@
      * An accepted message.
      *
      * @param messageClass index into {@link Settings#classes}
-     * @param key the ordering key, required for classes that keep an order
+     * @param key the ordering key, used by classes that keep an order
      * @param timeLeftMs the time left until the deadline
      */
     record Message(long id, int messageClass, int tenant, Optional<String> key, double timeLeftMs,
