--- a/src/main/java/slipfield/config/Config.java
+++ b/src/main/java/slipfield/config/Config.java
@@ -17,24 +17,40 @@
 import slipfield.policy.Relay;
 
 /**
- * What a sender is told, by its environment and its JSON configuration. The environment comes first, but for
- * discovery: the file may be replaced while the sender runs, and the environment then still names the old
- * address, also after a restart. Settings keep their dotted names, so that the adapter and the sender read them in one way.
+ * A sender's configuration: environment variables and the JSON file that {@code GW_CONFIG} names. A variable overrides the
+ * file, except for the discovery address: the file may be replaced while the sender runs, and the variable then still has the
+ * old address, also after a restart. Settings keep their dotted names, so that the simulator's adapter and the sender read
+ * them in the same way.
+ *
+ * @param state the folder for the journal and other files
+ * @param sockets how many sockets the sender may have open
+ * @param kinds the names of the endpoints' kinds, setting {@code flavors}
+ * @param maxOpen how many messages may be pending
+ * @param knownEndpoints the endpoint list that the configuration file contains, if any
+ * @param members the operator's file of further sources of endpoints, if any
+ * @param clients the operator's file of services for clients, if any
+ * @param amqp the operator's AMQP file, if any
  */
 public record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, Path state, long seed,
               int sockets, long diskBytes, Relay.Settings settings, List<String> classes,
               List<String> tenants, List<String> kinds, List<String> zones, int maxOpen, double connectTimeoutMs,
               Optional<JsonNode> knownEndpoints, Optional<Path> members, Optional<Path> clients,
               Optional<Path> amqp) {
-    /** Names the operator's file of further sources of endpoints, if any. */
+    /** Path of the operator's file of further sources of endpoints, if any. */
     private static final String MEMBERS = "SLIPFIELD_MEMBERS";
-    /** Names the operator's file of what is done for clients, if any. */
+    /** Path of the operator's file of services for clients, if any. */
     private static final String CLIENTS = "SLIPFIELD_CLIENTS";
-    /** Names the operator's file of AMQP, if any. */
+    /** Path of the operator's AMQP file, if any. */
     private static final String AMQP = "SLIPFIELD_AMQP";
-    /** The journal is read in one piece at the start and files count as memory: more is never used. */
-    private static final double MOST_DISK_MB = 12;
+    /** Upper limit of limits.disk_mb: the journal is read into memory in one piece at the start, and files count as memory. */
+    private static final double MAX_DISK_MB = 12;
 
+    /**
+     * Reads the environment and the configuration file.
+     *
+     * @throws IOException if the file can't be read, or is no JSON
+     * @throws BadInput if a required variable or setting is missing, or a value has the wrong form
+     */
     public static Config read(Map<String, String> env) throws IOException, BadInput {
         Path file = Path.of(required(env, "GW_CONFIG"));
         JsonNode json = JsonMapper.builder().build()
@@ -46,7 +62,7 @@
             Log.warn("config.fleet_size_unbelieved", "told", settings.textOr("fleet_size", "nothing"), "counted_as", 1);
         }
         JsonNode limits = json.path("limits");
-        double diskMb = Math.min(limits.path("disk_mb").asDouble(MOST_DISK_MB), MOST_DISK_MB);
+        double diskMb = Math.min(limits.path("disk_mb").asDouble(MAX_DISK_MB), MAX_DISK_MB);
         return new Config(
                 env.getOrDefault("GW_NAME", json.path("name").asText("sender")),
                 address(env.getOrDefault("GW_LISTEN", json.path("listen").asText())),
@@ -64,33 +80,36 @@
                 settings.numberOr("limits.dial_timeout_ms", 1000),
                 json.path("known").path("instances").isArray()
                         ? Optional.of(json.path("known")) : Optional.empty(),
-                file(env, MEMBERS), file(env, CLIENTS), file(env, AMQP));
+                optionalPath(env, MEMBERS), optionalPath(env, CLIENTS), optionalPath(env, AMQP));
     }
 
-    private static Optional<Path> file(Map<String, String> env, String name) {
-        return Optional.ofNullable(env.get(name)).filter(file -> !file.isEmpty()).map(Path::of);
+    private static Optional<Path> optionalPath(Map<String, String> env, String name) {
+        return Optional.ofNullable(env.get(name)).filter(path -> !path.isEmpty()).map(Path::of);
     }
 
-    /** An address as {@code 10.0.0.4:7070}; there is no DNS, so a host name is an error. */
+    /** Parses an address such as {@code 10.0.0.4:7070}; host names are rejected, because there is no DNS. */
     public static InetSocketAddress address(String text) throws BadInput {
-        int cut = text.lastIndexOf(':');
+        int colon = text.lastIndexOf(':');
         try {
-            if (cut < 1 || !text.substring(0, cut).matches("[0-9.]+|\\[[0-9a-fA-F:.]+]")) {
+            if (colon < 1 || !text.substring(0, colon).matches("[0-9.]+|\\[[0-9a-fA-F:.]+]")) {
                 throw new BadInput("not an address with a port: '" + text + "'");
             }
-            return new InetSocketAddress(InetAddress.getByName(text.substring(0, cut)),
-                    Integer.parseInt(text.substring(cut + 1)));
+            return new InetSocketAddress(InetAddress.getByName(text.substring(0, colon)),
+                    Integer.parseInt(text.substring(colon + 1)));
         } catch (IOException | IllegalArgumentException e) {
             throw new BadInput("not an address with a port: '" + text + "'");
         }
     }
 
-    /** An address as {@link #address} reads it. */
+    /** Formats an address so that {@link #address} reads it back. */
     public static String hostPort(InetSocketAddress address) {
         return address.getHostString() + ":" + address.getPort();
     }
 
-    /** Nested JSON as the dotted names of the simulator's wire. */
+    /**
+     * Adds the values of nested JSON under dotted names, as the simulator's protocol has them: {@code a.b} for an object's field,
+     * {@code a.0.b} and {@code a.count} for a list of objects, and one value with commas for a list of plain values.
+     */
     public static void flatten(String name, JsonNode node, Map<String, String> values) {
         if (node.isObject()) {
             String prefix = name.isEmpty() ? "" : name + ".";
--- a/src/main/java/slipfield/config/Params.java
+++ b/src/main/java/slipfield/config/Params.java
@@ -7,19 +7,19 @@
 import slipfield.policy.Relay;
 
 /**
- * The settings of one sender by their dotted names, and what the module is told of them. Shared by the
- * adapter and the real sender, lest the two read one setting in two ways; unknown ones are never asked for.
+ * The settings of one sender by their dotted names, and the delivery policy's settings that are made of them. The simulator's
+ * adapter and the sender share this class, so that both read a setting in the same way. Unknown settings are ignored.
  */
 public record Params(Map<String, String> values) {
-    /** The name of the figure in reports that is the rate of a destination's limit. */
+    /** Name of the field in an answer's report that contains the rate of the destination's limit. */
     public static final String REPORTED_RATE = "x1";
 
-    /** The name of the figure that is the share of it that is left. */
+    /** Name of the field that contains the remaining share of that limit. */
     public static final String REPORTED_REMAINING = "x0";
 
-    private static final int MOST_SENDERS = 10_000;
+    private static final int MAX_SENDERS = 10_000;
 
-    /** The module's settings. */
+    /** The delivery policy's settings; {@link BadInput} if one is missing or has a wrong value. */
     public Relay.Settings settings() throws BadInput {
         List<Relay.MessageClass> classes = new ArrayList<>();
         for (int i = 0; i < number("classes.count"); i++) {
@@ -48,13 +48,13 @@
         }
         Relay.Decay decay = textOr("family_info.decay", "line").equals("halves")
                 ? Relay.Decay.HALVES : Relay.Decay.LINE;
-        Relay.ColdStart cold = new Relay.ColdStart(number("rules.start_capacity"),
+        Relay.ColdStart coldStart = new Relay.ColdStart(number("rules.start_capacity"),
                 number("rules.warm_after_ms"), number("rules.fall_multiple"), number("rules.fall_ms"));
         boolean ratesListed = !textOr("weight_kind", "none").equals("none");
-        atLeastOne("family_info.workers", "calls that may be out at once");
+        atLeastOne("family_info.workers", "calls that may be in progress at once");
         atLeastOne("limits.most_tries", "attempts at a message");
         if (classes.isEmpty()) {
-            throw new BadInput("setting classes names none: name each class of message that clients hand in");
+            throw new BadInput("setting classes names none: name each class of message that clients submit");
         }
         if (kinds.isEmpty()) {
             throw new BadInput("settings family_info.separate_routes and family_info.batch_by_kind name no kind: "
@@ -63,7 +63,7 @@
         return new Relay.Settings(classes, kinds, ratesListed, decay, fees,
                 fleetSize().orElse(1), (int) number("family_info.workers"),
                 (int) number("limits.most_tries"), flag("limits.second_copies"), flag("limits.cancel"),
-                numberOr("rules.order_pause_ms", 0), numberOr("limits.keepalive_ms", 0), cold);
+                numberOr("rules.order_pause_ms", 0), numberOr("limits.keepalive_ms", 0), coldStart);
     }
 
     private void atLeastOne(String name, String meaning) throws BadInput {
@@ -73,24 +73,24 @@
     }
 
     /**
-     * How many senders there are. None where it is missing, no number, or what no fleet has: a sender that believed it would
-     * share each limit with nobody, or with so many that it sends nothing. It counts itself alone then.
+     * The number of senders that share each limit. Empty if it is missing, not a number, or not between 1 and 10,000: with such a
+     * value a sender would use a limit as if it were alone, or a share of it so small that it sends nothing. Callers assume 1.
      */
     public OptionalInt fleetSize() {
         try {
             double size = number("fleet_size");
-            return size >= 1 && size <= MOST_SENDERS ? OptionalInt.of((int) size) : OptionalInt.empty();
+            return size >= 1 && size <= MAX_SENDERS ? OptionalInt.of((int) size) : OptionalInt.empty();
         } catch (BadInput e) {
             return OptionalInt.empty();
         }
     }
 
-    /** Which of the figures that an answer's report holds is the one of this name; -1 where none is. */
+    /** The index in an answer's report of the field of this name; -1 if there is none. */
     public int reportField(String name) {
         return list("reporting.fields").indexOf(name);
     }
 
-    /** The value of a setting that must be there. */
+    /** The value of a required setting. */
     public String text(String name) throws BadInput {
         String value = values.get(name);
         if (value == null) {
@@ -99,12 +99,12 @@
         return value;
     }
 
-    /** The value of a setting, or what stands for its absence. */
+    /** The value of a setting, or {@code absent} if it is missing. */
     public String textOr(String name, String absent) {
         return values.getOrDefault(name, absent);
     }
 
-    /** The number in a setting that must be there. */
+    /** The number in a required setting. */
     public double number(String name) throws BadInput {
         String value = text(name);
         try {
@@ -114,23 +114,23 @@
         }
     }
 
-    /** The number in a setting, or what stands for its absence. */
+    /** The number in a setting, or {@code absent} if it is missing. */
     public double numberOr(String name, double absent) throws BadInput {
         return values.containsKey(name) ? number(name) : absent;
     }
 
-    /** Whether a switch is on; an absent one is off. */
+    /** Whether a setting is {@code true}; a missing one is false. */
     public boolean flag(String name) {
         return textOr(name, "false").equals("true");
     }
 
-    /** The parts of a list of plain values; none where it is absent. */
+    /** The values of a list of plain values; empty if it is missing. */
     public List<String> list(String name) {
         String value = textOr(name, "");
         return value.isEmpty() || value.equals("-") ? List.of() : List.of(value.split(","));
     }
 
-    /** A number in the wire's form. */
+    /** A number as the simulator's protocol writes it. */
     public static double parse(String value) throws BadInput {
         try {
             return Double.parseDouble(value);
--- a/src/main/java/slipfield/config/package-info.java
+++ b/src/main/java/slipfield/config/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What a sender is told by its environment and its configuration, read and checked. May use {@code policy}, whose
- * settings it makes, {@code log} and {@code retry}.
+ * Reads and checks a sender's environment variables and JSON configuration. May use {@code policy}, whose settings it creates,
+ * {@code log} and {@code retry}.
  */
 package slipfield.config;
--- a/src/main/java/slipfield/journal/AnswerRecipient.java
+++ b/src/main/java/slipfield/journal/AnswerRecipient.java
@@ -1,14 +1,14 @@
 package slipfield.journal;
 
 /**
- * Who has to hear of a message's end.
+ * Somebody who is to receive a message's final answer.
  *
- * @param channel the name of the outcome that tells it, such as {@code platform}
- * @param peer whom that one tells: a client's own name for itself, or empty where there is one peer only
- * @param includesDeliveries whether it is told of deliveries too, not of refusals and failures alone
- * @param keepsAnswers whether the answer is kept for a peer that went away before it; else it is dropped then
+ * @param channel the name of the channel that carries the answer, such as {@code platform}
+ * @param peer the client's own name for itself on that channel; empty where the channel has one peer only
+ * @param includesDeliveries whether deliveries are reported too, or refusals and failures only
+ * @param keepsAnswers whether an answer is kept for a peer that disconnected before it; otherwise it is dropped
  */
 public record AnswerRecipient(String channel, String peer, boolean includesDeliveries, boolean keepsAnswers) {
-    /** The platform's notices, which say nothing of what was delivered: all that journals before this form had. */
+    /** The platform's notices, which don't report deliveries. Journals from before recipients were recorded know no other one. */
     public static final AnswerRecipient PLATFORM = new AnswerRecipient("platform", "", false, true);
 }
--- a/src/main/java/slipfield/journal/Journal.java
+++ b/src/main/java/slipfield/journal/Journal.java
@@ -21,19 +21,19 @@
 import slipfield.trace.Trace;
 
 /**
- * What this sender has taken on, in a file that outlasts its process. Records are appended, each with its
- * length and checksum, and reach the system's cache before the step that they stand for: that survives any
- * end of the process, so nothing is forced to disk.
+ * The messages that this sender has accepted, in a file that survives the process. Records are appended, each with its length
+ * and checksum, and written to the operating system's page cache before the step that they record is taken. The page cache
+ * survives any end of the process, so nothing is forced to disk.
  *
- * <p>The folder never holds more than its bound: before an append would leave no room for a compacted copy
- * beside the file, the live records are written to a new file, which then takes the old one's place. New
- * messages are turned away while what is live, with the records that it may still need, fills half the bound.
+ * <p>The folder never holds more than its bound: before an append would leave no room for a compacted copy beside the file,
+ * the records of the current state are written to a new file, which then replaces the old one. New messages are refused while
+ * the current state, with the records that its messages may still need, takes up half the bound.
  */
 public final class Journal implements AutoCloseable {
-    /** Files count in whole blocks: two files, and a block to spare. */
-    private static final int BLOCKS = 3 * 512;
+    /** Disk usage counts whole blocks of 512 bytes: up to one more for each of the two files, and one in reserve. */
+    private static final int BLOCK_RESERVE = 3 * 512;
 
-    /** How a file is opened; tests stand in for a disk that fails. */
+    /** Opens the journal's files; tests replace it to simulate a failing disk. */
     public interface Opener {
         FileChannel open(Path file, StandardOpenOption... options) throws IOException;
     }
@@ -43,210 +43,218 @@
     private final Path file;
     private final Path next;
     private final long bound;
-    private final Kept kept;
+    private final JournalState state;
     private FileChannel channel;
     private long size;
-    private final Replayed replayed;
+    private final ReplayResult replayed;
     /** Records that are not in the file yet. */
     private final ByteArrayOutputStream batch = new ByteArrayOutputStream();
     private boolean batching;
-    /** Messages taken on in this batch: the number of each, and where its record ends in the batch. */
-    private final Map<Long, Integer> batchTaken = new LinkedHashMap<>();
-    /** Of the last batch that failed, the messages whose records are whole in the file: it could not be cut either. */
+    /** Messages accepted in this batch: the number of each, and the offset of its record's end in the batch. */
+    private final Map<Long, Integer> batchAccepted = new LinkedHashMap<>();
+    /** Messages of the last failed batch whose records are whole in the file, because it could not be truncated either. */
     private final Set<Long> recorded = new HashSet<>();
     /**
-     * The file lacks what memory holds: records could not be written, which later ones count on, such as attempts by their
-     * place. All is written anew before anything else is.
+     * The file lacks records that could not be written and that later ones depend on, such as attempts, which are numbered by
+     * their order. The whole file is rewritten before anything else is written.
      */
     private boolean stale;
-    /** Whether a stale file is written anew by {@link #repair} and {@link #flushBatch} alone, not by each record that comes. */
-    private boolean repairedByOwner;
-    /** Absent unless the sender is traced. */
+    /** Only {@link #repair} and {@link #flushBatch} rewrite a stale file, not every further record. */
+    private boolean explicitRepair;
+    /** Null unless the sender is traced. */
     private Trace trace;
 
     public Journal(Path folder, long diskBytes, int maxAttempts) throws IOException {
         this(folder, diskBytes, maxAttempts, ProcessClock.system().reference(), FileChannel::open);
     }
 
-    /** Times of earlier lives are moved to this life's reckoning as they are read. */
+    /**
+     * Reads the folder's journal, or creates it. Times that earlier processes wrote are converted to this process's clock.
+     *
+     * @param diskBytes greatest size of the folder in bytes
+     * @throws IOException if the file can't be opened, read or truncated
+     */
     public Journal(Path folder, long diskBytes, int maxAttempts, ProcessClock.Reference clock, Opener opener) throws IOException {
         this.opener = opener;
         this.clock = clock;
         this.file = folder.resolve("journal");
         this.next = folder.resolve("journal.next");
-        this.bound = diskBytes - BLOCKS;
-        this.kept = new Kept(bound, maxAttempts);
-        // A compaction that the process did not live to finish still takes up room.
+        this.bound = diskBytes - BLOCK_RESERVE;
+        this.state = new JournalState(bound, maxAttempts);
+        // The file of a compaction that an earlier process did not finish still takes up room.
         Files.deleteIfExists(next);
         channel = opener.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         try {
-            Replay replay = new Replay(kept, Optional.of(clock));
+            Replay replay = new Replay(state, Optional.of(clock));
             replayed = replay.read(Files.readAllBytes(file));
             size = replay.end();
-            // A torn tail would hide all that is appended behind it.
+            // Records that are appended behind a torn tail would not be found again.
             channel.truncate(size);
             channel.position(size);
         } catch (IOException e) {
             close();
             throw e;
         }
-        tell(replayed);
+        log(replayed);
         try {
-            write(Form.clock(clock));
+            write(RecordFormat.clock(clock));
         } catch (IOException e) {
-            // What is held has to be ended all the same; it is written with the rest when the disk works again.
+            // Pending messages still need their final answers; this record is written with the rest when the disk works again.
             stale = true;
             Log.error("journal.write_failed", "cause", e);
         }
     }
 
-    /** One that is only looked into: these bytes, by the reckoning of time that they were written in. */
+    /** A read-only journal of these bytes, for display; its times stay on the clocks that they were read by. */
     Journal(byte[] bytes) {
         opener = FileChannel::open;
         clock = null;
         file = null;
         next = null;
         bound = Long.MAX_VALUE;
-        kept = new Kept(bound, 0);
-        Replay replay = new Replay(kept, Optional.empty());
+        state = new JournalState(bound, 0);
+        Replay replay = new Replay(state, Optional.empty());
         replayed = replay.read(bytes);
         size = replay.end();
     }
 
-    /** What was found at the start. */
-    Replayed replayed() {
+    /** What was found in the file at the start. */
+    ReplayResult replayed() {
         return replayed;
     }
 
-    /** Records read, those with a mended bit, bytes that can't be read in the middle, and at the end. */
-    record Replayed(long records, long mended, long lost, long torn) {
+    /** Records read, corrected records among them, unreadable bytes in the middle, and bytes torn off at the end. */
+    record ReplayResult(long records, long corrected, long lost, long torn) {
     }
 
-    /** What was held when the last process ended, in the order taken. */
+    /** The messages that were pending when the last process ended, in the order accepted. */
     public List<PendingMessage> pendingMessages() {
-        return new ArrayList<>(kept.live.values());
+        return new ArrayList<>(state.pending.values());
     }
 
-    /** A number for the next message, above all that were used. */
+    /** The number for the next message, greater than every number used before. */
     public long nextNumber() {
-        return kept.nextNumber();
+        return state.nextNumber();
     }
 
-    /** Takes a message on, or throws: then it must be refused. */
-    public void recordAccepted(PendingMessage held) throws IOException {
-        byte[] record = Form.taken(held);
-        if (2 * kept.bytesWith(record.length) > bound) {
+    /** Records an accepted message. If this throws, the message has to be refused. */
+    public void recordAccepted(PendingMessage message) throws IOException {
+        byte[] record = RecordFormat.accepted(message);
+        if (2 * state.bytesWith(record.length) > bound) {
             throw new IOException("the journal has no room for another message");
         }
-        append(held, record);
-        kept.live.put(held.number, held);
+        append(message, record);
+        state.pending.put(message.number, message);
         if (batching) {
-            batchTaken.put(held.number, batch.size());
+            batchAccepted.put(message.number, batch.size());
         }
     }
 
     /**
-     * Whether the next life finds this message, though the batch that it was taken on in could not be written: then it must
+     * Whether the process after a restart will find this message although its batch could not be written. Such a message must
      * not be refused.
      */
-    public boolean isRecorded(PendingMessage held) {
-        return recorded.contains(held.number);
+    public boolean isRecorded(PendingMessage message) {
+        return recorded.contains(message.number);
     }
 
-    /** An attempt is about to be made; it counts as one that may have run from here on. */
-    public void recordAttempt(PendingMessage held, PendingMessage.Attempt attempt) throws IOException {
-        append(held, Form.attempt(held, attempt));
-        held.attempts.add(attempt);
+    /** Records an attempt that is about to be made; from now on it counts as one that may have run. */
+    public void recordAttempt(PendingMessage message, PendingMessage.Attempt attempt) throws IOException {
+        append(message, RecordFormat.attempt(message, attempt));
+        message.attempts.add(attempt);
     }
 
-    /** An end proved that the attempt never ran; if this is lost, it counts as one that may have. */
-    public void recordNeverRan(PendingMessage held, int attempt) throws IOException {
-        held.attempts.get(attempt).neverRan = true;
-        note(held, Form.neverRan(held, attempt));
+    /** Records that the attempt's end proved that it never ran; if this record is lost, it counts as one that may have run. */
+    public void recordNeverRan(PendingMessage message, int attempt) throws IOException {
+        message.attempts.get(attempt).neverRan = true;
+        note(message, RecordFormat.neverRan(message, attempt));
     }
 
-    /** The message has ended by a notice that is still to be heard. */
-    public void recordAnswer(PendingMessage held, PendingMessage.Notice notice) throws IOException {
-        held.pendingNotice = Optional.of(notice);
-        note(held, Form.owed(held, notice));
+    /** Records the message's final answer, which recipients have yet to acknowledge. */
+    public void recordAnswer(PendingMessage message, PendingMessage.Notice notice) throws IOException {
+        message.pendingNotice = Optional.of(notice);
+        note(message, RecordFormat.answer(message, notice));
     }
 
-    /** One more has to hear of a held message's end. */
-    public void recordRecipient(PendingMessage held, AnswerRecipient claim) throws IOException {
-        append(held, Form.claimed(held, claim, false));
-        held.recipients.add(claim);
+    /** Records a further recipient of a pending message's final answer. */
+    public void recordRecipient(PendingMessage message, AnswerRecipient recipient) throws IOException {
+        append(message, RecordFormat.recipient(message, recipient, false));
+        message.recipients.add(recipient);
     }
 
-    /** A claimant has heard of the message's end, or asks for it no more; an end that all have heard is over. */
-    public void recordAcknowledged(PendingMessage held, AnswerRecipient claim) throws IOException {
-        held.recipients.remove(claim);
-        if (held.recipients.isEmpty() && held.pendingNotice.isPresent()) {
-            recordCompleted(held);
+    /**
+     * Records that a recipient acknowledged the final answer, or no longer wants it; the message is completed when every
+     * recipient has acknowledged its answer.
+     */
+    public void recordAcknowledged(PendingMessage message, AnswerRecipient recipient) throws IOException {
+        message.recipients.remove(recipient);
+        if (message.recipients.isEmpty() && message.pendingNotice.isPresent()) {
+            recordCompleted(message);
         } else {
-            note(held, Form.heard(held, claim));
+            note(message, RecordFormat.acknowledged(message, recipient));
         }
     }
 
-    /** Nothing more is owed for the message; its id is known for a while. */
-    public void recordCompleted(PendingMessage held) throws IOException {
-        // First: a compaction that its record causes has to tell of it, since there the record finds no message any more.
-        kept.over(held.id, delivered(held));
-        end(held, Form.ENDED);
+    /** Records that nobody has to receive an answer to the message any more; its id is kept for a while. */
+    public void recordCompleted(PendingMessage message) throws IOException {
+        // First, because writing the record may compact the file: the message itself is not in the new file, so its id has to be.
+        state.completed(message.id, isDelivered(message));
+        remove(message, RecordFormat.COMPLETED);
     }
 
-    static boolean delivered(PendingMessage held) {
-        return held.pendingNotice.isEmpty() || held.pendingNotice.get().answer() == PendingMessage.FinalAnswer.DELIVERED;
+    static boolean isDelivered(PendingMessage message) {
+        return message.pendingNotice.isEmpty() || message.pendingNotice.get().answer() == PendingMessage.FinalAnswer.DELIVERED;
     }
 
-    /** The message was never taken on in its client's eyes, and its id means nothing. */
-    public void recordWithdrawn(PendingMessage held) throws IOException {
-        end(held, Form.WITHDRAWN);
+    /** Records that the client was never told of the message's acceptance; its id is forgotten. */
+    public void recordWithdrawn(PendingMessage message) throws IOException {
+        remove(message, RecordFormat.WITHDRAWN);
     }
 
-    private void end(PendingMessage held, int type) throws IOException {
-        if (kept.remove(held)) {
-            writeKnown(Form.end(type, held.number));
+    private void remove(PendingMessage message, int type) throws IOException {
+        if (state.remove(message)) {
+            writeApplied(RecordFormat.numberOnly(type, message.number));
         }
     }
 
-    /** Ids of messages that were over when the last process ended, the oldest first; true where delivered. */
+    /** Ids of messages that were completed when the last process ended, the oldest first; true where delivered. */
     public Map<String, Boolean> completedIds() {
-        return new LinkedHashMap<>(kept.over);
+        return new LinkedHashMap<>(state.completed);
     }
 
-    /** A destination, and one of its endpoints where these have limits of their own, else an empty name. */
+    /** A destination, and one of its endpoints where each endpoint has a limit of its own; otherwise an empty name. */
     public record SendRateKey(long destination, String endpoint) {
     }
 
-    /** A pace has changed; one that is unbounded takes up no room. */
-    public void recordSendRate(SendRateKey of, Relay.Pace now) throws IOException {
-        byte[] record = Form.pace(of, now);
-        kept.pace(of, now, record.length);
-        writeKnown(record);
+    /** Records a changed send rate; an unbounded one is removed from the state. */
+    public void recordSendRate(SendRateKey key, Relay.Pace now) throws IOException {
+        byte[] record = RecordFormat.sendRate(key, now);
+        state.sendRate(key, now, record.length);
+        writeApplied(record);
     }
 
-    /** The paces that were known when the last process ended. */
+    /** The send rates that were known when the last process ended. */
     public Map<SendRateKey, Relay.Pace> sendRates() {
-        return new LinkedHashMap<>(kept.paces);
+        return new LinkedHashMap<>(state.sendRates);
     }
 
-    /** An endpoint's state, since when on the wall clock, and the rate that it carried before. */
+    /** An endpoint's state, the wall time since when it is in that state, and the rate per ms that it carried before. */
     public record Health(Relay.State state, long sinceMs, double carriedPerMs) {
     }
 
-    /** What is known of an endpoint has changed; one that is in service, or forgotten, takes up no room. */
+    /** Records an endpoint's changed health; an endpoint that is in service, or forgotten, is removed from the state. */
     public void recordHealth(String endpoint, Health now) throws IOException {
-        byte[] record = Form.health(endpoint, now);
-        kept.health(endpoint, now, record.length);
-        writeKnown(record);
+        byte[] record = RecordFormat.health(endpoint, now);
+        state.health(endpoint, now, record.length);
+        writeApplied(record);
     }
 
-    /** What was known when the last process ended, of endpoints that were not in service. */
+    /** The health of the endpoints that were not in service when the last process ended. */
     public Map<String, Health> endpointHealth() {
-        return new TreeMap<>(kept.health);
+        return new TreeMap<>(state.health);
     }
 
-    /** Bytes of the file now. */
+    /** Size of the file in bytes, records of the current batch included. */
     public long size() {
         return size;
     }
@@ -266,20 +274,20 @@
 
     // ---- writing ----
 
-    /** Nothing of it is so unless its record is written. */
-    private void append(PendingMessage held, byte[] record) throws IOException {
+    /** Writes a record of a step that must not be taken if this throws. */
+    private void append(PendingMessage message, byte[] record) throws IOException {
         write(record);
-        kept.count(held, record.length);
+        state.count(message, record.length);
     }
 
-    /** It is so, whether or not its record can be written now. */
-    private void note(PendingMessage held, byte[] record) throws IOException {
-        kept.count(held, record.length);
-        writeKnown(record);
+    /** Writes a record of something that has happened, whether or not the record can be written now. */
+    private void note(PendingMessage message, byte[] record) throws IOException {
+        state.count(message, record.length);
+        writeApplied(record);
     }
 
-    /** Writes what memory says already; where that fails, all is written anew as soon as it can be. */
-    private void writeKnown(byte[] record) throws IOException {
+    /** Writes a record that the state already contains; if that fails, the file is stale until it is rewritten. */
+    private void writeApplied(byte[] record) throws IOException {
         try {
             write(record);
         } catch (IOException e) {
@@ -288,29 +296,29 @@
         }
     }
 
-    /** Whether the file lacks what memory holds: what is not in it is unknown to the next life. */
+    /** Whether the file lacks part of the state, which the process after a restart would then not know. */
     public boolean isStale() {
         return stale;
     }
 
     /**
-     * From now on a record that comes while the file lacks something fails at once, and the owner calls {@link #repair}. Writing all
-     * anew takes as long as the journal is large: not for each record while a disk goes on failing.
+     * From now on every record fails at once while the file is stale, and the caller has to call {@link #repair}. Rewriting the
+     * file takes time in proportion to its size, too long to try for each record while a disk keeps failing.
      */
     public void useExplicitRepair() {
-        repairedByOwner = true;
+        explicitRepair = true;
     }
 
-    /** Writes all anew if the file lacks anything. */
+    /** Rewrites the file if it is stale. */
     public void repair() throws IOException {
         if (stale) {
             compact();
         }
     }
 
-    /** Accounts for the writing of records from now on. */
-    public void setTrace(Trace by) {
-        trace = by;
+    /** From now on the time for writing records is counted in this trace. */
+    public void setTrace(Trace newTrace) {
+        trace = newTrace;
     }
 
     private void write(byte[] record) throws IOException {
@@ -326,14 +334,15 @@
         }
     }
 
-    /** Records are collected from now on, until {@link #flushBatch}. */
+    /** Collects records from now on, until {@link #flushBatch} or {@link #discardBatch}. */
     public void beginBatch() {
         batching = true;
     }
 
     /**
-     * Writes what was collected, in one piece. If it throws, none of it is in the file: what it stood for must not be
-     * done. What a compaction has meanwhile taken into the new file counts as written.
+     * Writes the collected records in one piece. If this throws, the file is stale and the steps that the records stand for must
+     * not be taken, except for messages of which {@link #isRecorded} is true. Records that a compaction has meanwhile written to
+     * the new file count as written.
      */
     public void flushBatch() throws IOException {
         batching = false;
@@ -341,11 +350,11 @@
             return;
         }
         byte[] records = batch.toByteArray();
-        Map<Long, Integer> taken = new LinkedHashMap<>(batchTaken);
-        emptyBatch();
+        Map<Long, Integer> accepted = new LinkedHashMap<>(batchAccepted);
+        clearBatch();
         recorded.clear();
         if (stale) {
-            // They are in memory too; behind a torn record nothing may be appended.
+            // The records are part of the state too. Nothing may be appended behind a torn record.
             compact();
             return;
         }
@@ -357,9 +366,9 @@
         } catch (IOException e) {
             size -= records.length;
             stale = true;
-            if (e instanceof UncutWrite uncut) {
-                taken.forEach((number, end) -> {
-                    if (end <= uncut.written) {
+            if (e instanceof UntruncatedWrite partial) {
+                accepted.forEach((number, end) -> {
+                    if (end <= partial.written) {
                         recorded.add(number);
                     }
                 });
@@ -372,23 +381,23 @@
         }
     }
 
-    /** Drops what was collected: memory holds it, and the file is stale. */
+    /** Drops the collected records: the state contains them, and the file is stale if there were any. */
     public void discardBatch() {
         batching = false;
         stale |= batch.size() > 0;
-        emptyBatch();
+        clearBatch();
     }
 
-    private void emptyBatch() {
+    private void clearBatch() {
         batch.reset();
-        batchTaken.clear();
+        batchAccepted.clear();
     }
 
     private void writeRecord(byte[] record) throws IOException {
-        if (stale && repairedByOwner) {
-            throw new IOException("the journal can't be written for now");
+        if (stale && explicitRepair) {
+            throw new IOException("the journal can't be written until it is repaired");
         }
-        if (stale || size + kept.bytes() + 2L * record.length > bound) {
+        if (stale || size + state.bytes() + 2L * record.length > bound) {
             compact();
         }
         if (size + record.length > bound) {
@@ -402,18 +411,18 @@
         size += record.length;
     }
 
-    /** A write failed after a part of it, and the file could not be cut back: the part stays in it. */
-    private static final class UncutWrite extends IOException {
+    /** A write failed after part of its bytes, and truncating failed too: the part stays in the file. */
+    private static final class UntruncatedWrite extends IOException {
         private static final long serialVersionUID = 1;
         private final int written;
 
-        UncutWrite(IOException cause, int written) {
+        UntruncatedWrite(IOException cause, int written) {
             super(cause.getMessage(), cause);
             this.written = written;
         }
     }
 
-    /** A record that is written in part must not stay: all behind it would be lost at the next start. */
+    /** Writes all of the bytes. A partial record is truncated after a failure: a restart would lose the records behind it. */
     private void writeAll(FileChannel to, byte[] bytes) throws IOException {
         long start = to.position();
         ByteBuffer buffer = ByteBuffer.wrap(bytes);
@@ -422,17 +431,17 @@
                 to.write(buffer);
             }
         } catch (IOException e) {
-            throw cut(to, start, e) ? e : new UncutWrite(e, buffer.position());
+            throw truncated(to, start, e) ? e : new UntruncatedWrite(e, buffer.position());
         }
     }
 
-    /** Whether what stands behind {@code start} could be cut off. */
-    private boolean cut(FileChannel to, long start, IOException cause) {
+    /** Truncates the file to {@code start}; false if that failed. */
+    private boolean truncated(FileChannel to, long start, IOException cause) {
         try {
             to.truncate(start);
             return true;
         } catch (IOException e) {
-            // Nothing may be written behind the torn record.
+            // Nothing may be written behind the partial record.
             stale = true;
             cause.addSuppressed(e);
             return false;
@@ -440,28 +449,28 @@
     }
 
     private void compact() throws IOException {
-        byte[] records = kept.records(clock);
+        byte[] records = state.records(clock);
         FileChannel fresh = opener.open(next, StandardOpenOption.CREATE,
                 StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE);
         try {
             writeAll(fresh, records);
             Files.move(next, file, StandardCopyOption.ATOMIC_MOVE);
         } catch (IOException e) {
-            discard(fresh, e);
+            deleteNext(fresh, e);
             throw e;
         }
         FileChannel replaced = channel;
-        // From here on the old file is nobody's, whatever becomes of closing it.
+        // From here on the old file is no longer used, even if closing it fails.
         channel = fresh;
         size = records.length;
-        // Whatever was collected is told by what is live.
-        emptyBatch();
+        // The new file contains the state that the collected records led to.
+        clearBatch();
         stale = false;
         close(replaced);
     }
 
-    /** The failure that is told is the one before. */
-    private void discard(FileChannel fresh, IOException cause) {
+    /** Removes the unfinished file; a failure to do so is added to the cause. */
+    private void deleteNext(FileChannel fresh, IOException cause) {
         close(fresh);
         try {
             Files.deleteIfExists(next);
@@ -470,12 +479,12 @@
         }
     }
 
-    private void tell(Replayed found) {
-        if (found.mended > 0) {
-            Log.warn("journal.mended", "records", found.mended);
+    private void log(ReplayResult found) {
+        if (found.corrected > 0) {
+            Log.warn("journal.mended", "records", found.corrected);
         }
         if (found.lost > 0) {
-            Log.error("journal.lost", "bytes", found.lost, "may_have_run", kept.live.size());
+            Log.error("journal.lost", "bytes", found.lost, "may_have_run", state.pending.size());
         }
         if (found.torn > 0) {
             Log.warn("journal.torn", "bytes", found.torn);
--- a/src/main/java/slipfield/journal/JournalReader.java
+++ b/src/main/java/slipfield/journal/JournalReader.java
@@ -6,41 +6,41 @@
 import java.util.List;
 import java.util.Map;
 
-/** A journal as it lies there, for people: read as a sender would at its start, and never changed. */
+/** Reads a journal file for display, as a sender reads it at its start; never changes the file. */
 public final class JournalReader {
     private final Journal journal;
 
-    /** Reads this file, by the clock that it was written by. */
+    /** Reads this file; its times stay on the clock of the processes that wrote them. */
     public JournalReader(Path file) throws IOException {
         journal = new Journal(Files.readAllBytes(file));
     }
 
-    /** What is held, in the order taken. */
+    /** The pending messages, in the order accepted. */
     public List<PendingMessage> pendingMessages() {
         return journal.pendingMessages();
     }
 
-    /** Ids of messages that are over, the oldest first; true where delivered. */
+    /** Ids of completed messages, the oldest first; true where delivered. */
     public Map<String, Boolean> completedIds() {
         return journal.completedIds();
     }
 
-    /** Bytes of the file. */
+    /** Size of the file in bytes. */
     public long bytes() {
         return journal.size() + tornBytes();
     }
 
-    /** Records that can be read, mended ones with them. */
+    /** Number of records that could be read, including corrected ones. */
     public long records() {
         return journal.replayed().records();
     }
 
-    /** Records in which one bit was wrong. */
+    /** Number of records in which one wrong bit was corrected. */
     public long correctedRecords() {
-        return journal.replayed().mended();
+        return journal.replayed().corrected();
     }
 
-    /** Bytes before the last whole record that can't be read. */
+    /** Unreadable bytes before the end of the last whole record. */
     public long unreadableBytes() {
         return journal.replayed().lost();
     }
--- /dev/null
+++ b/src/main/java/slipfield/journal/JournalState.java
@@ -0,0 +1,137 @@
+package slipfield.journal;
+
+import java.io.ByteArrayOutputStream;
+import java.util.Iterator;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.TreeMap;
+import slipfield.policy.Relay;
+
+/**
+ * The state that a journal's records describe, and the size in bytes of a compacted file with the same state: pending messages,
+ * ids of completed ones, the health of endpoints and send rates. No I/O.
+ */
+final class JournalState {
+    /** Bytes reserved for the later records of a message: for each attempt, and for its final answer. */
+    static final int ATTEMPT_BYTES = 128;
+    private static final int ANSWER_BYTES = 64;
+    /** Completed ids take up 1/32 of the bound at the most. */
+    private static final int COMPLETED_DIVISOR = 32;
+
+    final Map<Long, PendingMessage> pending = new TreeMap<>();
+    /** The last known health of endpoints that are not in service. */
+    final Map<String, Journal.Health> health = new TreeMap<>();
+    final Map<Journal.SendRateKey, Relay.Pace> sendRates = new LinkedHashMap<>();
+    /** Ids of completed messages, the newest last, and whether they were delivered. */
+    final Map<String, Boolean> completed = new LinkedHashMap<>();
+    private final long maxCompletedBytes;
+    private final long reservedPerMessage;
+    private long completedBytes;
+    private long bytes;
+    private long nextNumber;
+
+    /** {@code bound}: greatest size of the folder in bytes. */
+    JournalState(long bound, int maxAttempts) {
+        this.maxCompletedBytes = bound / COMPLETED_DIVISOR;
+        this.reservedPerMessage = (long) maxAttempts * ATTEMPT_BYTES + ANSWER_BYTES;
+    }
+
+    /** Upper bound of the size in bytes of a compacted file. */
+    long bytes() {
+        return bytes;
+    }
+
+    /**
+     * {@link #bytes()} with one more message, whose record has this length, and the bytes reserved for the later records of
+     * all pending messages.
+     */
+    long bytesWith(int record) {
+        return bytes + record + reservedPerMessage * (pending.size() + 1L);
+    }
+
+    /** The number for the next message, greater than every number used before. */
+    long nextNumber() {
+        return nextNumber++;
+    }
+
+    void markUsed(long number) {
+        nextNumber = Math.max(nextNumber, number + 1);
+    }
+
+    /** Counts a record of a message that is, or will be, in the file. */
+    void count(PendingMessage message, int length) {
+        message.bytes += length;
+        bytes += length;
+    }
+
+    /** Removes a message that is completed or withdrawn; false: it was not pending. */
+    boolean remove(PendingMessage message) {
+        boolean was = pending.remove(message.number) != null;
+        bytes -= was ? message.bytes : 0;
+        return was;
+    }
+
+    /** Adds the id of a completed message; the oldest ids are dropped where they take up too much. */
+    void completed(String id, boolean delivered) {
+        if (completed.put(id, delivered) == null) {
+            countCompleted(completedIdBytes(id));
+        }
+        Iterator<String> eldest = completed.keySet().iterator();
+        while (completedBytes > maxCompletedBytes) {
+            countCompleted(-completedIdBytes(eldest.next()));
+            eldest.remove();
+        }
+    }
+
+    private void countCompleted(int length) {
+        completedBytes += length;
+        bytes += length;
+    }
+
+    /** Upper bound of the length of the id's record. */
+    private static int completedIdBytes(String id) {
+        return RecordFormat.HEADER_BYTES + 12 + 3 * id.length();
+    }
+
+    /** Sets a send rate; an unbounded one is dropped. */
+    void sendRate(Journal.SendRateKey key, Relay.Pace now, int length) {
+        boolean before = sendRates.remove(key) != null;
+        boolean stays = now.perMs() < Double.POSITIVE_INFINITY;
+        if (stays) {
+            sendRates.put(key, now);
+        }
+        bytes += (stays ? length : 0) - (before ? length : 0);
+    }
+
+    /** Sets an endpoint's health; one that is in service, or forgotten, is dropped. */
+    void health(String endpoint, Journal.Health now, int length) {
+        boolean before = health.remove(endpoint) != null;
+        boolean stays = now.state() != Relay.State.UP;
+        if (stays) {
+            health.put(endpoint, now);
+        }
+        bytes += (stays ? length : 0) - (before ? length : 0);
+    }
+
+    /** The whole state as records, in the order in which they have to be read. */
+    byte[] records(ProcessClock.Reference clock) {
+        ByteArrayOutputStream all = new ByteArrayOutputStream((int) bytes);
+        all.writeBytes(RecordFormat.clock(clock));
+        health.forEach((endpoint, known) -> all.writeBytes(RecordFormat.health(endpoint, known)));
+        sendRates.forEach((key, known) -> all.writeBytes(RecordFormat.sendRate(key, known)));
+        completed.forEach((id, delivered) -> all.writeBytes(RecordFormat.completedId(id, delivered)));
+        for (PendingMessage message : pending.values()) {
+            all.writeBytes(RecordFormat.accepted(message));
+            for (int i = 0; i < message.attempts.size(); i++) {
+                all.writeBytes(RecordFormat.attempt(message, message.attempts.get(i)));
+                if (message.attempts.get(i).neverRan) {
+                    all.writeBytes(RecordFormat.neverRan(message, i));
+                }
+            }
+            if (message.pendingNotice.isPresent()) {
+                all.writeBytes(RecordFormat.answer(message, message.pendingNotice.get()));
+            }
+        }
+        return all.toByteArray();
+    }
+}
--- a/src/main/java/slipfield/journal/PendingAnswer.java
+++ b/src/main/java/slipfield/journal/PendingAnswer.java
@@ -1,5 +1,5 @@
 package slipfield.journal;
 
-/** A final answer that one claimant of a message still has to hear. */
+/** A message's final answer that one recipient has not acknowledged yet. */
 public record PendingAnswer(PendingMessage message, AnswerRecipient recipient) {
 }
--- a/src/main/java/slipfield/journal/PendingMessage.java
+++ b/src/main/java/slipfield/journal/PendingMessage.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 
 /**
- * A message that this sender has taken on, with all that its journal must know of it: who may send it again,
- * and how, is decided from this after a restart.
+ * An accepted message, with everything that its journal records of it. After a restart this decides whether and how the
+ * message may be sent again.
  */
 public final class PendingMessage {
     public final long number;
@@ -15,27 +15,28 @@
     public final String tenant;
     public final Optional<String> key;
     public final long destination;
-    /** Wall time, since it must hold in a later life. */
+    /** Wall time in ms since 1970, because it has to hold in the process after a restart. */
     public final long deadlineMs;
     public final byte[] body;
     public final List<Attempt> attempts = new ArrayList<>();
-    /** Who has still to hear of its end; those who heard are taken off. */
+    /** Who has not acknowledged the final answer yet; a recipient is removed when it acknowledges. */
     public final List<AnswerRecipient> recipients = new ArrayList<>(1);
+    /** The final answer, while recipients have yet to acknowledge it. */
     public Optional<Notice> pendingNotice = Optional.empty();
-    /** Since when this life holds it, by the wall clock. */
+    /** When this process accepted the message or restored it from the journal, by the wall clock. */
     public final long acceptedMs = System.currentTimeMillis();
-    /** When it was ended by a notice, by the wall clock; 0: not in this life. Like {@link #acceptedMs} for the trace. */
+    /** When the final answer was given, by the wall clock; 0: not in this process. For the trace, like {@link #acceptedMs}. */
     public long answeredMs;
-    /** So much sooner than its client's time is up, in ms, {@link #deadlineMs} is; 0 where an earlier form did not tell. */
+    /** How many ms {@link #deadlineMs} lies before the client's own deadline; 0 where an older record format did not say. */
     public int reserveMs;
     /** Bytes of its records in the journal. */
     long bytes;
-    /** Its client has heard that it was taken; what comes back from the journal counts as heard. */
+    /** The client was told that the message was accepted; true for every message restored from the journal. */
     public boolean acceptanceReported;
-    /** Nothing may be sent for it any more: delivered, over, or ended by a notice. */
+    /** No further attempt may be made: the message was delivered, withdrawn, or answered by a notice. */
     public boolean finished;
 
-    /** An attempt; it may have run unless its end proved otherwise, whatever became of this process. */
+    /** An attempt. It counts as one that may have run unless its end proved otherwise, even if this process is killed. */
     public static final class Attempt {
         public final String endpoint;
         public final long sentAtMs;
@@ -47,22 +48,22 @@
         }
     }
 
-    /** How a message ended. */
+    /** The kinds of final answer. */
     public enum FinalAnswer {
-        /** Refused, with the time to come back where there is one. */
+        /** Refused, with the time after which to submit it again where there is one. */
         REFUSED,
-        /** Given up, with no promise about its effect. */
+        /** Given up; the message may or may not have taken effect. */
         FAILED,
         /** Delivered. */
         DELIVERED
     }
 
-    /** The end that claimants must still hear of; {@code waitMs}: the time to come back after, or 0. */
+    /** The final answer that recipients have yet to acknowledge; {@code waitMs}: submit again after this time, or 0. */
     public record Notice(FinalAnswer answer, double waitMs) {
     }
 
     public PendingMessage(long number, String id, String messageClass, String tenant, Optional<String> key, long destination,
-            long deadlineMs, byte[] body, AnswerRecipient claim) {
+            long deadlineMs, byte[] body, AnswerRecipient recipient) {
         this.number = number;
         this.id = id;
         this.messageClass = messageClass;
@@ -71,10 +72,10 @@
         this.destination = destination;
         this.deadlineMs = deadlineMs;
         this.body = body;
-        this.recipients.add(claim);
+        this.recipients.add(recipient);
     }
 
-    /** A message that the platform has to hear of alone. */
+    /** A message whose only recipient is the platform. */
     public PendingMessage(long number, String id, String messageClass, String tenant, Optional<String> key, long destination,
             long deadlineMs, byte[] body) {
         this(number, id, messageClass, tenant, key, destination, deadlineMs, body, AnswerRecipient.PLATFORM);
--- a/src/main/java/slipfield/journal/Replay.java
+++ b/src/main/java/slipfield/journal/Replay.java
@@ -8,156 +8,158 @@
 import slipfield.policy.Relay;
 
 /**
- * Reads the bytes of a journal into what they say. A record in which one bit is wrong is mended by its checksum; behind one
- * that can't be, reading goes on at the next whole record, and what the lost ones may have told counts as the worst: each
- * message held by then may have run.
+ * Rebuilds the journal's state from the bytes of its file. A record with one wrong bit is corrected by its checksum. Behind a
+ * record that can't be corrected, reading continues at the next whole record, and the worst is assumed of the lost ones: each
+ * message that is pending at that point may have run.
  */
 final class Replay {
-    /** Clocks that differ by less were not set: they are read a moment apart. */
-    private static final long SET_MS = 50;
-    /** In place of an endpoint, for an attempt whose record can't be read. */
-    private static final String UNKNOWN = "";
+    /** A smaller shift does not mean that the clock was set: wall clock and time since boot are read a moment apart. */
+    private static final long MIN_SHIFT_MS = 50;
+    /** Stands for the endpoint of an attempt whose record can't be read. */
+    private static final String UNKNOWN_ENDPOINT = "";
 
-    private final Kept kept;
-    /** This life's reckoning of time, or the file's own. */
+    private final JournalState state;
+    /** The clock to convert the file's times to; empty: the times stay as written. */
     private final Optional<ProcessClock.Reference> clock;
-    /** The latest time that a record has told, by this life's clock. */
+    /** The latest time in any record so far, by this process's clock. */
     private long latestMs = Long.MIN_VALUE;
-    /** What to add to the times of the records that are read. */
-    private long shift;
+    /** Milliseconds to add to the times of the records that are read. */
+    private long shiftMs;
     private int end;
 
-    Replay(Kept kept, Optional<ProcessClock.Reference> clock) {
-        this.kept = kept;
+    Replay(JournalState state, Optional<ProcessClock.Reference> clock) {
+        this.state = state;
         this.clock = clock;
     }
 
-    /** Where the last whole record ends. */
+    /** Offset of the end of the last whole record. */
     int end() {
         return end;
     }
 
-    /** Reads them; what is said of the journal that follows is in the kept state. */
-    Journal.Replayed read(byte[] bytes) {
-        long mended = 0;
+    /** Reads the records into the state, and counts them. */
+    Journal.ReplayResult read(byte[] bytes) {
+        long corrected = 0;
         long lost = 0;
         long read = 0;
-        Records records = new Records(bytes);
+        RecordScanner records = new RecordScanner(bytes);
         while (records.next()) {
             if (records.skipped() > 0) {
                 lost += records.skipped();
-                mayHaveRun();
+                assumeAttempts();
             }
-            mended += records.mended() ? 1 : 0;
+            corrected += records.corrected() ? 1 : 0;
             read++;
             try {
                 apply(new DataInputStream(new ByteArrayInputStream(bytes, records.from(), records.length())),
-                        Form.HEAD + records.length());
+                        RecordFormat.HEADER_BYTES + records.length());
             } catch (IOException | RuntimeException e) {
-                lost += Form.HEAD + records.length();
+                lost += RecordFormat.HEADER_BYTES + records.length();
                 Log.error("journal.record_unknown", "at_byte", records.from(), "cause", e);
             }
             end = records.from() + records.length();
         }
-        return new Journal.Replayed(read, mended, lost, bytes.length - end);
+        return new Journal.ReplayResult(read, corrected, lost, bytes.length - end);
     }
 
-    private void mayHaveRun() {
-        for (PendingMessage held : kept.live.values()) {
-            if (!held.finished) {
-                // At the earliest that it may have been sent: a window counts from there.
-                held.attempts.add(new PendingMessage.Attempt(UNKNOWN, Math.max(latestMs, 0)));
-                kept.count(held, Kept.ATTEMPT_ROOM);
+    /** Adds an attempt that may have run to every message that may still be sent. */
+    private void assumeAttempts() {
+        for (PendingMessage message : state.pending.values()) {
+            if (!message.finished) {
+                // The earliest time at which the lost attempt can have been sent; deduplication windows count from it.
+                message.attempts.add(new PendingMessage.Attempt(UNKNOWN_ENDPOINT, Math.max(latestMs, 0)));
+                state.count(message, JournalState.ATTEMPT_BYTES);
             }
         }
     }
 
-    private long moved(long timeMs) {
-        latestMs = Math.max(latestMs, timeMs + shift);
-        return timeMs + shift;
+    /** Converts a time of the file to this process's clock. */
+    private long converted(long timeMs) {
+        latestMs = Math.max(latestMs, timeMs + shiftMs);
+        return timeMs + shiftMs;
     }
 
     private void apply(DataInputStream in, int length) throws IOException {
         int type = in.readByte();
         long number = in.readLong();
         switch (type) {
-            case Form.HEALTH -> {
+            case RecordFormat.HEALTH -> {
                 String endpoint = in.readUTF();
-                kept.health(endpoint, new Journal.Health(Relay.State.values()[in.readByte()], moved(number), in.readDouble()),
-                        length);
+                state.health(endpoint, new Journal.Health(Relay.State.values()[in.readByte()], converted(number),
+                        in.readDouble()), length);
                 return;
             }
-            case Form.PACE -> {
-                Journal.SendRateKey of = new Journal.SendRateKey(number, in.readUTF());
+            case RecordFormat.SEND_RATE -> {
+                Journal.SendRateKey key = new Journal.SendRateKey(number, in.readUTF());
                 double perMs = in.readDouble();
                 in.readDouble();
-                kept.pace(of, new Relay.Pace(perMs, in.readDouble()), length);
+                state.sendRate(key, new Relay.Pace(perMs, in.readDouble()), length);
                 return;
             }
-            case Form.OVER -> {
-                kept.over(in.readUTF(), in.readBoolean());
+            case RecordFormat.COMPLETED_ID -> {
+                state.completed(in.readUTF(), in.readBoolean());
                 return;
             }
-            case Form.CLOCK -> {
+            case RecordFormat.CLOCK -> {
                 ProcessClock.Reference written = new ProcessClock.Reference(number, in.readLong(), in.readLong());
-                shift = clock.isEmpty() ? 0 : written.shiftTo(clock.get());
-                shift = Math.abs(shift) < SET_MS ? 0 : shift;
-                if (shift != 0) {
-                    Log.warn("clock.moved", "by_ms", shift);
+                shiftMs = clock.isEmpty() ? 0 : written.shiftTo(clock.get());
+                shiftMs = Math.abs(shiftMs) < MIN_SHIFT_MS ? 0 : shiftMs;
+                if (shiftMs != 0) {
+                    Log.warn("clock.moved", "by_ms", shiftMs);
                 }
-                latestMs = Math.max(latestMs, number + shift);
+                latestMs = Math.max(latestMs, number + shiftMs);
                 return;
             }
-            default -> kept.used(number);
+            default -> state.markUsed(number);
         }
-        if (type == Form.TAKEN) {
+        if (type == RecordFormat.ACCEPTED) {
             String id = in.readUTF();
             String messageClass = in.readUTF();
             String tenant = in.readUTF();
-            boolean keyed = in.readBoolean();
+            boolean hasKey = in.readBoolean();
             String key = in.readUTF();
-            PendingMessage held = new PendingMessage(number, id, messageClass, tenant,
-                    keyed ? Optional.of(key) : Optional.empty(),
-                    in.readLong(), in.readLong() + shift, in.readNBytes(in.readInt()));
-            held.reserveMs = in.available() >= Integer.BYTES ? in.readInt() : 0;
-            kept.live.put(number, held);
-            kept.count(held, length);
+            PendingMessage message = new PendingMessage(number, id, messageClass, tenant,
+                    hasKey ? Optional.of(key) : Optional.empty(),
+                    in.readLong(), in.readLong() + shiftMs, in.readNBytes(in.readInt()));
+            message.reserveMs = in.available() >= Integer.BYTES ? in.readInt() : 0;
+            state.pending.put(number, message);
+            state.count(message, length);
             return;
         }
-        PendingMessage held = kept.live.get(number);
-        if (held == null) {
+        PendingMessage message = state.pending.get(number);
+        if (message == null) {
             return;
         }
         switch (type) {
-            case Form.ATTEMPT -> held.attempts.add(new PendingMessage.Attempt(in.readUTF(), moved(in.readLong())));
-            case Form.NEVER_RAN -> held.attempts.get(in.readInt()).neverRan = true;
-            case Form.OWED -> {
-                held.pendingNotice = Optional.of(new PendingMessage.Notice(in.readBoolean()
+            case RecordFormat.ATTEMPT -> message.attempts.add(new PendingMessage.Attempt(in.readUTF(), converted(in.readLong())));
+            case RecordFormat.NEVER_RAN -> message.attempts.get(in.readInt()).neverRan = true;
+            case RecordFormat.UNDELIVERED -> {
+                message.pendingNotice = Optional.of(new PendingMessage.Notice(in.readBoolean()
                         ? PendingMessage.FinalAnswer.REFUSED : PendingMessage.FinalAnswer.FAILED,
                         in.readDouble()));
-                held.finished = true;
+                message.finished = true;
             }
-            case Form.OWED_DELIVERED -> {
-                held.pendingNotice = Optional.of(new PendingMessage.Notice(PendingMessage.FinalAnswer.DELIVERED, 0));
-                held.recipients.removeIf(c -> !c.includesDeliveries());
-                held.finished = true;
+            case RecordFormat.DELIVERED -> {
+                message.pendingNotice = Optional.of(new PendingMessage.Notice(PendingMessage.FinalAnswer.DELIVERED, 0));
+                message.recipients.removeIf(c -> !c.includesDeliveries());
+                message.finished = true;
             }
-            case Form.CLAIMED -> {
+            case RecordFormat.RECIPIENT -> {
                 if (in.readBoolean()) {
-                    held.recipients.clear();
+                    message.recipients.clear();
                 }
-                held.recipients.add(Form.claim(in));
+                message.recipients.add(RecordFormat.readRecipient(in));
             }
-            case Form.HEARD -> held.recipients.remove(Form.claim(in));
-            case Form.ENDED, Form.WITHDRAWN -> {
-                kept.remove(held);
-                if (type == Form.ENDED) {
-                    kept.over(held.id, Journal.delivered(held));
+            case RecordFormat.ACKNOWLEDGED -> message.recipients.remove(RecordFormat.readRecipient(in));
+            case RecordFormat.COMPLETED, RecordFormat.WITHDRAWN -> {
+                state.remove(message);
+                if (type == RecordFormat.COMPLETED) {
+                    state.completed(message.id, Journal.isDelivered(message));
                 }
                 return;
             }
             default -> throw new IOException("unknown record " + type);
         }
-        kept.count(held, length);
+        state.count(message, length);
     }
 }
--- a/src/main/java/slipfield/settings/Section.java
+++ b/src/main/java/slipfield/settings/Section.java
@@ -21,8 +21,8 @@
 import slipfield.config.Config;
 
 /**
- * A mapping of an operator's file. Fields are asked for by name, type, unit and range; what is wrong is a {@link BadInput}
- * that names file, line, column and mend.
+ * A mapping of an operator's file. Each method reads the field of a name and checks its type, unit and range; an error is a
+ * {@link BadInput} that names the file, line, column, problem and remedy.
  */
 public final class Section {
     private static final Pattern TIME = Pattern.compile("([0-9]{1,12}(?:\\.[0-9]{1,6})?) ?(ms|s|m|h)");
@@ -36,7 +36,7 @@
     private final Map<String, Node> keys = new LinkedHashMap<>();
 
     /**
-     * A mapping at this place.
+     * A mapping of this file; {@link BadInput} if the node is not a mapping of distinct scalar keys.
      *
      * @param name its dotted name, empty for the whole file
      */
@@ -67,52 +67,52 @@
         return name.isEmpty() ? key : name + "." + key;
     }
 
-    /** Refuses all fields but these; a name that is nearly one of them is asked about. */
+    /** Refuses all fields but these; the error for a name that is similar to one of them suggests that one. */
     public Section allowOnly(String... known) throws BadInput {
         Set<String> names = new TreeSet<>(List.of(known));
         for (Map.Entry<String, Node> key : keys.entrySet()) {
             if (!names.contains(key.getKey())) {
-                String near = names.stream().filter(n -> near(n, key.getKey())).findFirst()
+                String hint = names.stream().filter(n -> similar(n, key.getKey())).findFirst()
                         .map(n -> "did you mean '" + n + "'?").orElse("it knows " + names);
-                throw error(key.getValue(), title() + " knows no field '" + key.getKey() + "'; " + near);
+                throw error(key.getValue(), title() + " knows no field '" + key.getKey() + "'; " + hint);
             }
         }
         return this;
     }
 
-    /** Whether one is the other with a unit behind it, or differs by one letter. */
-    private static boolean near(String known, String written) {
+    /** Whether the written name is the known one followed by a unit, or differs from it by case or by one letter. */
+    private static boolean similar(String known, String written) {
         if (written.startsWith(known + "_") || written.equalsIgnoreCase(known)) {
             return true;
         }
-        int ahead = 0;
-        int most = Math.min(known.length(), written.length());
-        while (ahead < most && known.charAt(ahead) == written.charAt(ahead)) {
-            ahead++;
+        int prefix = 0;
+        int shorter = Math.min(known.length(), written.length());
+        while (prefix < shorter && known.charAt(prefix) == written.charAt(prefix)) {
+            prefix++;
         }
-        int behind = 0;
-        while (behind < most - ahead
-                && known.charAt(known.length() - 1 - behind) == written.charAt(written.length() - 1 - behind)) {
-            behind++;
+        int suffix = 0;
+        while (suffix < shorter - prefix
+                && known.charAt(known.length() - 1 - suffix) == written.charAt(written.length() - 1 - suffix)) {
+            suffix++;
         }
-        return Math.max(known.length(), written.length()) - ahead - behind <= 1;
+        return Math.max(known.length(), written.length()) - prefix - suffix <= 1;
     }
 
-    /** Whether the field is there. */
+    /** Whether the field is set. */
     public boolean has(String key) {
         return fields.containsKey(key);
     }
 
-    /** An error at a field, or at this mapping where the field is not there. */
-    public BadInput error(String key, String whatAndMend) {
-        return error(fields.getOrDefault(key, node), title(key) + " " + whatAndMend);
+    /** An error at a field, or at this mapping if the field is not set; the text continues the field's name. */
+    public BadInput error(String key, String problemAndRemedy) {
+        return error(fields.getOrDefault(key, node), title(key) + " " + problemAndRemedy);
     }
 
     private BadInput error(Node at, String text) {
-        return new BadInput(SettingsFile.place(file, at.getStartMark()) + text);
+        return new BadInput(SettingsFile.location(file, at.getStartMark()) + text);
     }
 
-    /** The text of a field that must be there and not be empty. */
+    /** The text of a required field, which must not be empty. */
     public String text(String key) throws BadInput {
         String text = text(key, "");
         if (text.isEmpty()) {
@@ -121,7 +121,7 @@
         return text;
     }
 
-    /** The text of a field; {@code otherwise} where it is absent. */
+    /** The text of a field; {@code otherwise} if it is not set. */
     public String text(String key, String otherwise) throws BadInput {
         Node value = fields.get(key);
         if (value == null) {
@@ -137,7 +137,7 @@
         return ((ScalarNode) value).getValue();
     }
 
-    /** A text out of these. */
+    /** A text that has to be one of the allowed values; {@code otherwise} is checked too. */
     public String oneOf(String key, String otherwise, Set<String> allowed) throws BadInput {
         String text = text(key, otherwise);
         if (!allowed.contains(text)) {
@@ -146,43 +146,43 @@
         return text;
     }
 
-    /** A whole number within a range, both ends included. */
-    public long integer(String key, long otherwise, long least, long most) throws BadInput {
+    /** A whole number within a range, both limits included. */
+    public long integer(String key, long otherwise, long min, long max) throws BadInput {
         if (!has(key)) {
             return otherwise;
         }
         String text = text(key, "");
         try {
             long value = Long.parseLong(text);
-            if (value >= least && value <= most) {
+            if (value >= min && value <= max) {
                 return value;
             }
-        } catch (NumberFormatException notOne) {
-            // Told below, as what is out of its range is.
+        } catch (NumberFormatException e) {
+            // Reported below, like a value out of range.
         }
-        throw error(key, "is a whole number" + range(Long.toString(least), Long.toString(most), most == Long.MAX_VALUE)
+        throw error(key, "is a whole number" + range(Long.toString(min), Long.toString(max), max == Long.MAX_VALUE)
                 + ", not '" + text + "'; write it in digits, without a unit");
     }
 
-    /** A number within a range, both ends included. */
-    public double number(String key, double otherwise, double least, double most) throws BadInput {
+    /** A number within a range, both limits included. */
+    public double number(String key, double otherwise, double min, double max) throws BadInput {
         if (!has(key)) {
             return otherwise;
         }
         String text = text(key, "");
         try {
             double value = Double.parseDouble(text);
-            if (value >= least && value <= most) {
+            if (value >= min && value <= max) {
                 return value;
             }
-        } catch (NumberFormatException notOne) {
-            // Told below, as what is out of its range is.
+        } catch (NumberFormatException e) {
+            // Reported below, like a value out of range.
         }
-        throw error(key, "is a number" + range(Double.toString(least), Double.toString(most), most == Double.MAX_VALUE)
+        throw error(key, "is a number" + range(Double.toString(min), Double.toString(max), max == Double.MAX_VALUE)
                 + ", not '" + text + "'; write it in digits, without a unit");
     }
 
-    /** A share from 0 to 1, written as {@code 0.5} or {@code 50%}. */
+    /** A fraction from 0 to 1, written as {@code 0.5} or {@code 50%}. */
     public double share(String key, double otherwise) throws BadInput {
         if (!has(key)) {
             return otherwise;
@@ -194,14 +194,14 @@
             if (value >= 0 && value <= 1) {
                 return value;
             }
-        } catch (NumberFormatException notOne) {
-            // Told below, as what is out of its range is.
+        } catch (NumberFormatException e) {
+            // Reported below, like a value out of range.
         }
         throw error(key, "is a share from 0 to 1, not '" + text + "'; write 0.5 or 50%");
     }
 
-    /** A time with its unit, such as {@code 250ms}, {@code 1.5s}, {@code 2m}, {@code 1h}; in milliseconds. */
-    public long millis(String key, long otherwise, long least, long most) throws BadInput {
+    /** A duration in ms, written with its unit: {@code 250ms}, {@code 1.5s}, {@code 2m}, {@code 1h}; limits in ms, included. */
+    public long millis(String key, long otherwise, long min, long max) throws BadInput {
         if (!has(key)) {
             return otherwise;
         }
@@ -211,15 +211,15 @@
             throw error(key, "is a time with its unit, not '" + text + "'; write it as 250ms, 1.5s, 2m or 1h");
         }
         double value = Double.parseDouble(time.group(1)) * UNIT_MS.get(time.group(2));
-        if (value < least || value > most) {
-            throw error(key, "is a time" + range(time(least), time(most), most == Long.MAX_VALUE) + ", not " + text
+        if (value < min || value > max) {
+            throw error(key, "is a time" + range(time(min), time(max), max == Long.MAX_VALUE) + ", not " + text
                     + "; write one in that range");
         }
         return Math.round(value);
     }
 
-    /** A rate with its unit, such as {@code 20/s}, {@code 600/m}; in units a second. */
-    public double perSecond(String key, double otherwise, double least, double most) throws BadInput {
+    /** A rate per second, written with its unit: {@code 20/s}, {@code 600/m}; limits per second, included. */
+    public double perSecond(String key, double otherwise, double min, double max) throws BadInput {
         if (!has(key)) {
             return otherwise;
         }
@@ -229,29 +229,29 @@
             throw error(key, "is a rate with its unit, not '" + text + "'; write it as 20/s, 600/m or 5000/h");
         }
         double value = Double.parseDouble(rate.group(1)) * 1000 / UNIT_MS.get(rate.group(2));
-        if (value < least || value > most) {
-            throw error(key, "is a rate" + range(least + "/s", most + "/s", most == Double.MAX_VALUE) + ", not " + text
+        if (value < min || value > max) {
+            throw error(key, "is a rate" + range(min + "/s", max + "/s", max == Double.MAX_VALUE) + ", not " + text
                     + "; write one in that range");
         }
         return value;
     }
 
-    private static String range(String least, String most, boolean open) {
-        return open ? " of " + least + " or more" : " from " + least + " to " + most;
+    private static String range(String min, String max, boolean open) {
+        return open ? " of " + min + " or more" : " from " + min + " to " + max;
     }
 
-    /** A time in the form that {@link #millis} reads, in its largest whole unit. */
+    /** Formats a duration as {@link #millis} reads it, in the largest unit that needs no fraction. */
     public static String time(long ms) {
         return ms >= 3_600_000 && ms % 3_600_000 == 0 ? ms / 3_600_000 + "h" : ms >= 60_000 && ms % 60_000 == 0
                 ? ms / 60_000 + "m" : ms >= 1000 && ms % 1000 == 0 ? ms / 1000 + "s" : ms + "ms";
     }
 
-    /** A switch: {@code true} or {@code false}. */
+    /** A field that is {@code true} or {@code false}. */
     public boolean flag(String key, boolean otherwise) throws BadInput {
         return oneOf(key, Boolean.toString(otherwise), Set.of("true", "false")).equals("true");
     }
 
-    /** The texts of a list; none where it is absent. */
+    /** The texts of a list; empty if it is not set. */
     public List<String> texts(String key) throws BadInput {
         List<String> texts = new ArrayList<>();
         for (Node item : list(key)) {
@@ -260,7 +260,7 @@
         return texts;
     }
 
-    /** The addresses of a list, each {@code host:port}; none where it is absent. */
+    /** The addresses of a list, each {@code IP:PORT}; empty if it is not set. */
     public List<InetSocketAddress> addresses(String key) throws BadInput {
         List<InetSocketAddress> addresses = new ArrayList<>();
         for (Node item : list(key)) {
@@ -269,7 +269,7 @@
         return addresses;
     }
 
-    /** The address in a field that must be there. */
+    /** The address in a required field. */
     public InetSocketAddress address(String key) throws BadInput {
         text(key);
         return address(key, fields.get(key));
@@ -283,18 +283,18 @@
         }
     }
 
-    /** A file whose path starts, where it is relative, from the folder of this one. */
+    /** A path; a relative one is resolved against the folder of this file. */
     public Optional<Path> path(String key) throws BadInput {
         String text = text(key, "");
         return text.isEmpty() ? Optional.empty() : Optional.of(file.toAbsolutePath().resolveSibling(text));
     }
 
-    /** The mapping in a field. */
+    /** The mapping in a field, if it is set. */
     public Optional<Section> section(String key) throws BadInput {
         return has(key) ? Optional.of(new Section(file, fields.get(key), title(key))) : Optional.empty();
     }
 
-    /** The mappings in a list; none where it is absent. */
+    /** The mappings in a list; empty if it is not set. */
     public List<Section> sections(String key) throws BadInput {
         List<Section> sections = new ArrayList<>();
         for (Node item : list(key)) {
--- a/src/main/java/slipfield/state/BackgroundJsonFile.java
+++ b/src/main/java/slipfield/state/BackgroundJsonFile.java
@@ -14,41 +14,44 @@
 import slipfield.work.decide.Kind;
 
 /**
- * A JSON file that is written whole beside the old one and moved over it, as background work: nobody waits for it, and a
- * disk may be slow. What is to be written while a write is on its way takes the place of what waits. One that can't be
- * written is told of once, until one can be again.
+ * A JSON file that is written by background work: nothing waits for a slow disk. Each version is written to a new file, which
+ * then replaces the old one. Content that arrives during a write waits for the next one, and replaces content that waits
+ * already. The first of several failed writes in a row is logged.
  */
 public final class BackgroundJsonFile implements AutoCloseable {
-    /** The kind of work that this is. */
+    /** The kind of background work that writes these files. */
     public static final Kind KIND = new Kind("views", Grade.SOON, 0.05, 200, 4 << 20, 4, true, 30_000);
     private static final JsonMapper JSON = JsonMapper.builder().build();
 
     private final Path path;
     private final String event;
-    private final Object writing = new Object();
+    private final Object writeLock = new Object();
     private Worker worker;
-    /** What waits to be written; taken by whoever writes. */
+    /** The content to write next; null if there is none. */
     private Supplier<?> next;
     private boolean queued;
     private boolean failed;
 
-    /** {@code event}: what a failed write is logged as. */
+    /** {@code event}: the log event of a failed write. */
     public BackgroundJsonFile(Path path, String event) {
         this.path = path;
         this.event = event;
     }
 
-    /** It is written by this worker, which knows {@link #KIND}. */
-    public void setWorker(Worker does) {
-        worker = does;
+    /** Sets the worker that writes the file; {@link #KIND} has to be registered with it. */
+    public void setWorker(Worker newWorker) {
+        worker = newWorker;
     }
 
-    /** Where it is. */
+    /** The file's path. */
     public Path path() {
         return path;
     }
 
-    /** Writes what is supplied, on another thread: nothing of it may change any more. On the worker's loop. */
+    /**
+     * Queues content for writing; to be called on the worker's event loop. The supplier is called on another thread, so the
+     * objects that it reads must not change any more.
+     */
     public void write(Supplier<?> content) {
         synchronized (this) {
             next = content;
@@ -57,37 +60,38 @@
             }
             queued = true;
         }
-        boolean taken = worker.add(Job.once(path.getFileName().toString(), KIND.name(), worker.nowMs()), this::slice)
+        boolean accepted = worker.add(Job.once(path.getFileName().toString(), KIND.name(), worker.nowMs()), this::runSlice)
                 .isPresent();
-        if (!taken) {
-            // There is too much to do: a later one is written.
+        if (!accepted) {
+            // The worker has too many jobs: this version is skipped, and a later call queues a newer one.
             synchronized (this) {
                 queued = false;
             }
         }
     }
 
-    private Task.SliceResult slice() {
-        long bytes = put();
+    private Task.SliceResult runSlice() {
+        long bytes = writePending();
         synchronized (this) {
             queued = next != null;
             return new Task.SliceResult(bytes, queued);
         }
     }
 
-    private long put() {
-        // One at a time; the loop never waits for this one.
-        synchronized (writing) {
+    /** Writes the waiting content, if any, and returns its length in bytes. */
+    private long writePending() {
+        // One write at a time; the event loop never waits for this lock.
+        synchronized (writeLock) {
             Supplier<?> content;
             synchronized (this) {
                 content = next;
                 next = null;
             }
-            return content == null ? 0 : put(content);
+            return content == null ? 0 : writeFile(content);
         }
     }
 
-    private long put(Supplier<?> content) {
+    private long writeFile(Supplier<?> content) {
         Path fresh = path.resolveSibling(path.getFileName() + ".new");
         try {
             byte[] bytes = JSON.writeValueAsBytes(content.get());
@@ -104,9 +108,9 @@
         }
     }
 
-    /** What was to be written is, here and now, if the disk lets it. */
+    /** Writes the waiting content on the calling thread; a failure is logged. */
     @Override
     public void close() {
-        put();
+        writePending();
     }
 }
--- a/src/main/java/slipfield/state/package-info.java
+++ b/src/main/java/slipfield/state/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Small files in the state folder besides the journal: what people look at, and what a next life may begin with. May use
- * {@code work} and {@code log}.
+ * Small files in the state folder besides the journal: files for display, and files that the process after a restart may read.
+ * May use {@code work} and {@code log}.
  */
 package slipfield.state;
--- a/src/main/java/slipfield/work/Task.java
+++ b/src/main/java/slipfield/work/Task.java
@@ -1,19 +1,20 @@
 package slipfield.work;
 
-/** What a job does. */
+/** The code of a job, which runs in slices. */
 @FunctionalInterface
 public interface Task {
     /**
-     * One slice: a small piece of the whole. On the loop's thread, or on a pool's where the job's kind blocks.
+     * Runs one slice, a small part of the job, on the event loop, or on a pool thread if the job's kind blocks. The worker
+     * measures its CPU time.
      *
-     * @return the bytes that it wrote, and whether there is more; its CPU is measured
-     * @throws Exception if it failed: it is tried again later, from where it stands
+     * @return the bytes that the slice wrote, and whether more slices follow
+     * @throws Exception if the slice failed: it is called again later, and continues from the state that it left
      */
     SliceResult slice() throws Exception;
 
-    /** What a slice did. */
+    /** The bytes that a slice wrote, and whether more slices follow. */
     record SliceResult(long bytes, boolean more) {
-        /** It was the last one, and wrote nothing. */
+        /** The last slice, which wrote nothing. */
         public static final SliceResult LAST = new SliceResult(0, false);
     }
 }
--- a/src/main/java/slipfield/work/Worker.java
+++ b/src/main/java/slipfield/work/Worker.java
@@ -20,16 +20,17 @@
 import slipfield.work.decide.Scheduler;
 
 /**
- * Does what the scheduler gives, on one event loop and, for what may block, on a small pool. All is asked for on the loop,
- * and the ends of slices on the pool are told there too, those of one job in their order.
+ * Runs the slices that the scheduler selects, on one event loop or, for kinds that may block, on a small thread pool. The
+ * scheduler is used on the event loop only: the results of slices on the pool are passed to it there, for each job in order.
  */
 public final class Worker implements AutoCloseable {
-    /** Slices on the loop in one turn, of all kinds together, last no longer than this before others have theirs. */
-    private static final long TURN_NANOS = TimeUnit.MILLISECONDS.toNanos(2);
-    private static final long WATCH_MS = 50;
-    private static final int POOL = 2;
-    /** Slices that wait for a thread of the pool: beyond, nothing is asked for until one is free. */
-    private static final int POOL_WAITING = 4;
+    /** In one event-loop iteration no further slice is started after this time, so that the loop can do its other work. */
+    private static final long ITERATION_NANOS = TimeUnit.MILLISECONDS.toNanos(2);
+    /** Interval at which the event loop's lateness is measured. */
+    private static final long CHECK_MS = 50;
+    private static final int POOL_THREADS = 2;
+    /** Slices that may wait for a pool thread; when this many wait, no further slice is started until one is done. */
+    private static final int POOL_QUEUE = 4;
     private static final long IDLE_THREAD_MS = 5000;
 
     private final EventLoop loop;
@@ -41,86 +42,86 @@
     private Future<?> wake;
     private double wakeMs = Double.POSITIVE_INFINITY;
     private double lateness;
-    private double watchDueMs;
-    private int onPool;
+    private double checkDueMs;
+    private int poolSlices;
     private volatile boolean closed;
 
-    /** Works on this loop, as this scheduler says; {@link #nowMs} is its clock. */
+    /** Works on this event loop, within these limits. */
     public Worker(EventLoop loop, Limits limits) {
         this.loop = loop;
         this.scheduler = new Scheduler(limits.jobs(), limits.cpuShare(), limits.burstMs(), System.nanoTime(), 0);
-        this.pool = new ThreadPoolExecutor(POOL, POOL, IDLE_THREAD_MS, TimeUnit.MILLISECONDS,
-                new ArrayBlockingQueue<>(POOL_WAITING), task -> {
+        this.pool = new ThreadPoolExecutor(POOL_THREADS, POOL_THREADS, IDLE_THREAD_MS, TimeUnit.MILLISECONDS,
+                new ArrayBlockingQueue<>(POOL_QUEUE), task -> {
                     Thread thread = new Thread(task, "work");
                     thread.setDaemon(true);
                     return thread;
                 });
         pool.allowCoreThreadTimeOut(true);
-        loop.execute(this::watch);
+        loop.execute(this::checkLateness);
     }
 
     /**
-     * How much background work there may be.
+     * Limits of the background work.
      *
-     * @param jobs known at one time
-     * @param cpuShare of one core for all but ENDS
-     * @param burstMs of CPU that may have been saved up
+     * @param jobs how many jobs may exist at one time
+     * @param cpuShare the share of one core that all work but {@link Grade#ENDS} may use
+     * @param burstMs how much unused CPU time may accumulate, in ms
      */
     public record Limits(int jobs, double cpuShare, double burstMs) {
     }
 
-    /** Milliseconds since this worker began, by a clock that is never set. */
+    /** Milliseconds since this worker was created, by the monotonic clock; the time base of its jobs. */
     public double nowMs() {
         return (System.nanoTime() - startNanos) / 1e6;
     }
 
-    /** A kind of work. */
+    /** Adds a kind of work; its name must be new. */
     public void registerKind(Kind kind) {
         scheduler.kind(kind, nowMs());
     }
 
-    /** Takes a job on; empty where there are too many. */
+    /** Adds a job and returns its number; empty if there are too many. */
     public Optional<Long> add(Job job, Task task) {
         Optional<Long> number = scheduler.add(job, nowMs());
         number.ifPresent(n -> tasks.put(n, task));
-        tell();
+        handleEvents();
         run();
         return number;
     }
 
-    /** Calls a job off. */
+    /** Cancels a job. */
     public void cancel(long number) {
         scheduler.cancel(number);
         tasks.remove(number);
-        tell();
+        handleEvents();
     }
 
-    /** A job is of this grade from now on. */
-    public void raise(long number, Grade grade) {
+    /** Changes a job's grade. */
+    public void setGrade(long number, Grade grade) {
         scheduler.raise(number, grade, nowMs());
         run();
     }
 
-    /** Each kind as it stands. */
+    /** The current state of each kind. */
     public List<Scheduler.Report> report() {
         return scheduler.report();
     }
 
-    /** How late the loop was when it was last looked at, in milliseconds. */
+    /** How late the event loop was at the last check, in ms. */
     public double latenessMs() {
         return lateness;
     }
 
-    /** The loop is as late as this tick is. */
-    private void watch() {
+    /** Runs at a fixed interval; the event loop is as late as this call is. */
+    private void checkLateness() {
         double now = nowMs();
-        lateness = watchDueMs == 0 ? 0 : Math.max(0, now - watchDueMs);
-        watchDueMs = now + WATCH_MS;
+        lateness = checkDueMs == 0 ? 0 : Math.max(0, now - checkDueMs);
+        checkDueMs = now + CHECK_MS;
         if (!closed) {
-            loop.schedule(this::watch, WATCH_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::checkLateness, CHECK_MS, TimeUnit.MILLISECONDS);
         }
         scheduler.watch(now);
-        tell();
+        handleEvents();
         run();
     }
 
@@ -129,38 +130,38 @@
             return;
         }
         scheduler.turn();
-        long until = System.nanoTime() + TURN_NANOS;
-        while (System.nanoTime() < until && onPool < POOL + POOL_WAITING) {
+        long until = System.nanoTime() + ITERATION_NANOS;
+        while (System.nanoTime() < until && poolSlices < POOL_THREADS + POOL_QUEUE) {
             Optional<Scheduler.Slice> next = scheduler.next(nowMs(), lateness);
             if (next.isEmpty()) {
                 break;
             }
             Scheduler.Slice slice = next.get();
             if (slice.blocks()) {
-                hand(slice);
+                runOnPool(slice);
             } else {
-                ended(slice, Outcome.of(tasks.get(slice.job()), this::cpuMs));
+                sliceEnded(slice, SliceOutcome.of(tasks.get(slice.job()), this::cpuMs));
             }
         }
-        tell();
+        handleEvents();
         wakeLater();
     }
 
-    private void hand(Scheduler.Slice slice) {
+    private void runOnPool(Scheduler.Slice slice) {
         Task task = tasks.get(slice.job());
-        onPool++;
+        poolSlices++;
         try {
             pool.execute(() -> {
-                Outcome outcome = Outcome.of(task, this::cpuMs);
+                SliceOutcome outcome = SliceOutcome.of(task, this::cpuMs);
                 loop.execute(() -> {
-                    onPool--;
-                    ended(slice, outcome);
+                    poolSlices--;
+                    sliceEnded(slice, outcome);
                     run();
                 });
             });
         } catch (RejectedExecutionException e) {
-            onPool--;
-            ended(slice, new Outcome(0, Task.SliceResult.LAST, e));
+            poolSlices--;
+            sliceEnded(slice, new SliceOutcome(0, Task.SliceResult.LAST, e));
         }
     }
 
@@ -168,7 +169,7 @@
         return threads.isCurrentThreadCpuTimeSupported() ? threads.getCurrentThreadCpuTime() / 1e6 : System.nanoTime() / 1e6;
     }
 
-    private void ended(Scheduler.Slice slice, Outcome outcome) {
+    private void sliceEnded(Scheduler.Slice slice, SliceOutcome outcome) {
         Cost cost = new Cost(outcome.cpuMs, outcome.done.bytes(), outcome.done.more());
         if (outcome.thrown == null) {
             scheduler.ran(slice.job(), cost, nowMs());
@@ -181,24 +182,25 @@
         }
     }
 
-    /** What became of a slice. */
-    private record Outcome(double cpuMs, Task.SliceResult done, Throwable thrown) {
+    /** A slice's CPU time and result; {@code thrown} is null unless it failed. */
+    private record SliceOutcome(double cpuMs, Task.SliceResult done, Throwable thrown) {
         interface Clock {
             double ms();
         }
 
-        static Outcome of(Task task, Clock cpu) {
+        static SliceOutcome of(Task task, Clock cpu) {
             double before = cpu.ms();
             try {
                 Task.SliceResult done = task == null ? Task.SliceResult.LAST : task.slice();
-                return new Outcome(cpu.ms() - before, done, null);
+                return new SliceOutcome(cpu.ms() - before, done, null);
             } catch (Exception | StackOverflowError e) {
-                return new Outcome(cpu.ms() - before, Task.SliceResult.LAST, e);
+                return new SliceOutcome(cpu.ms() - before, Task.SliceResult.LAST, e);
             }
         }
     }
 
-    private void tell() {
+    /** Logs the scheduler's events, and drops the tasks of jobs that it dropped. */
+    private void handleEvents() {
         List<String> events = scheduler.events();
         if (!events.isEmpty()) {
             events.forEach(event -> Log.warn("work.changed", "what", event));
@@ -216,11 +218,11 @@
             wake.cancel(false);
         }
         wakeMs = next;
-        // What is further away than a tick of the watch is found by it.
-        wake = next - now > WATCH_MS ? null : loop.schedule(this::run, (long) ((next - now) * 1000), TimeUnit.MICROSECONDS);
+        // The lateness check runs the work that is due later than its next call.
+        wake = next - now > CHECK_MS ? null : loop.schedule(this::run, (long) ((next - now) * 1000), TimeUnit.MICROSECONDS);
     }
 
-    /** Nothing more is begun; what the pool has ends, and is not waited for. */
+    /** Starts no further slice. Slices that the pool already has are still run; this method does not wait for them. */
     @Override
     public void close() {
         closed = true;
--- a/src/main/java/slipfield/work/package-info.java
+++ b/src/main/java/slipfield/work/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Background work: who does it, on the loop and on a small pool. What is done when is decided by {@code work.decide}. Knows
- * nothing of what the work is. May use Netty's loop and {@code log}.
+ * Runs background work, on the event loop and on a small thread pool; {@code work.decide} decides what runs when. Knows nothing
+ * of what the work does. May use Netty's event loop and {@code log}.
  */
 package slipfield.work;
