--- a/src/test/java/slipfield/config/ParamsTest.java
+++ b/src/test/java/slipfield/config/ParamsTest.java
@@ -15,17 +15,17 @@
 class ParamsTest {
     @ParameterizedTest
     @ValueSource(strings = {"0", "-3", "NaN", "Infinity", "many", "1e12", ""})
-    void aFleetSizeThatNoFleetHasIsNotBelieved(String told) {
-        assertTrue(new Params(Map.of("fleet_size", told)).fleetSize().isEmpty());
+    void anImpossibleFleetSizeIsIgnored(String size) {
+        assertTrue(new Params(Map.of("fleet_size", size)).fleetSize().isEmpty());
         assertTrue(new Params(Map.of()).fleetSize().isEmpty());
     }
 
     @Test
-    void aFleetSizeIsRead() {
+    void readsTheFleetSize() {
         assertEquals(14, new Params(Map.of("fleet_size", "14.0")).fleetSize().orElse(0));
     }
 
-    /** Each is told with its key, its value and what to put there, and the journal is not touched: it is read after this. */
+    /** The error names the setting, its value and a remedy. Settings are read before the journal, which is not touched then. */
     @ParameterizedTest
     @CsvSource({"family_info.workers, 0, 'setting family_info.workers is 0: give 1 or more'",
             "limits.most_tries, NaN, 'setting limits.most_tries is NaN: give 1 or more'",
@@ -34,7 +34,7 @@
             "classes.count, 0, 'setting classes names none'",
             "classes.0.repeat, sometimes, 'unknown value of classes.0.repeat'",
             "family_info.batch_by_kind, -, 'name no kind'"})
-    void whatMakesNoSenseIsToldWithItsKey(String key, String value, String told) throws Exception {
+    void anInvalidSettingIsReportedWithItsName(String key, String value, String expected) throws Exception {
         Map<String, String> settings = new HashMap<>(Map.of("classes.count", "1", "classes.0.repeat", "safe",
                 "classes.0.aim_ms", "1000", "classes.0.give_up_ms", "4000", "family_info.workers", "3", "limits.most_tries", "4",
                 "family_info.batch_by_kind", "1", "rules.start_capacity", "0.2", "rules.warm_after_ms", "9000"));
@@ -42,11 +42,11 @@
         assertEquals(1, new Params(settings).settings().senders());
         settings.put(key, value);
         BadInput bad = assertThrows(BadInput.class, () -> new Params(settings).settings());
-        assertTrue(bad.getMessage().contains(told), bad.getMessage());
+        assertTrue(bad.getMessage().contains(expected), bad.getMessage());
     }
 
     @Test
-    void whatAnAnswerTellsOfALimitIsBoundedOrNotBelieved() {
+    void aReportedLimitIsBoundedOrIgnored() {
         for (double rate : new double[] {0, -5, Double.NaN, Double.POSITIVE_INFINITY}) {
             assertEquals(new Relay.Told(0, -1), new Relay.Told(rate, 0.5));
         }
--- a/src/test/java/slipfield/journal/FailingChannel.java
+++ b/src/test/java/slipfield/journal/FailingChannel.java
@@ -8,7 +8,7 @@
 import java.nio.channels.ReadableByteChannel;
 import java.nio.channels.WritableByteChannel;
 
-/** A file on a disk that may fail: what a test leaves alone goes to the real one. */
+/** A file on a disk that may fail: tests override the methods that are to fail, all others use the real file. */
 abstract class FailingChannel extends FileChannel {
     private final FileChannel disk;
 
--- a/src/test/java/slipfield/journal/JournalTest.java
+++ b/src/test/java/slipfield/journal/JournalTest.java
@@ -25,30 +25,30 @@
 import slipfield.policy.Relay;
 
 class JournalTest {
-    private static final long DISK = 200_000;
-    /** What a life begins with: the record of its clock. */
-    private static final int OPENED = 12 + 1 + 3 * 8;
+    private static final long DISK_BYTES = 200_000;
+    /** Length of the record that every new process writes first, that of its clock. */
+    private static final int CLOCK_RECORD_BYTES = 12 + 1 + 3 * 8;
 
     @TempDir
     private Path folder;
 
     private Journal open() throws IOException {
-        return new Journal(folder, DISK, 12);
+        return new Journal(folder, DISK_BYTES, 12);
     }
 
-    private static PendingMessage held(Journal journal, int body) {
+    private static PendingMessage message(Journal journal, int bodyBytes) {
         long number = journal.nextNumber();
-        return new PendingMessage(number, "id-" + number, "order", "desk", Optional.of("key"), 7, 12_345, new byte[body]);
+        return new PendingMessage(number, "id-" + number, "order", "desk", Optional.of("key"), 7, 12_345, new byte[bodyBytes]);
     }
 
     @Test
-    void whatWasHeldComesBackWithAllThatHappenedToIt() throws Exception {
+    void restoresPendingMessagesWithAttemptsAndAnswers() throws Exception {
         try (Journal journal = open()) {
-            PendingMessage a = held(journal, 3);
-            PendingMessage b = held(journal, 3);
-            PendingMessage c = held(journal, 3);
-            for (PendingMessage h : List.of(a, b, c)) {
-                journal.recordAccepted(h);
+            PendingMessage a = message(journal, 3);
+            PendingMessage b = message(journal, 3);
+            PendingMessage c = message(journal, 3);
+            for (PendingMessage m : List.of(a, b, c)) {
+                journal.recordAccepted(m);
             }
             journal.recordAttempt(a, new PendingMessage.Attempt("s-1", 100));
             journal.recordAttempt(a, new PendingMessage.Attempt("s-2", 200));
@@ -57,9 +57,9 @@
             journal.recordCompleted(c);
         }
         try (Journal journal = open()) {
-            List<PendingMessage> held = List.copyOf(journal.pendingMessages());
-            assertEquals(2, held.size());
-            PendingMessage a = held.get(0);
+            List<PendingMessage> pending = List.copyOf(journal.pendingMessages());
+            assertEquals(2, pending.size());
+            PendingMessage a = pending.get(0);
             assertEquals("id-0", a.id);
             assertEquals(Optional.of("key"), a.key);
             assertEquals(12_345, a.deadlineMs);
@@ -68,25 +68,25 @@
             assertEquals(List.of(true, false), a.attempts.stream().map(x -> x.neverRan).toList());
             assertEquals(200, a.attempts.get(1).sentAtMs);
             assertEquals(Optional.of(new PendingMessage.Notice(PendingMessage.FinalAnswer.REFUSED, 500)),
-                    held.get(1).pendingNotice);
+                    pending.get(1).pendingNotice);
             assertEquals(3, journal.nextNumber(), "numbers are not used again");
         }
     }
 
-    /** A file as the version wrote it that knew the platform alone, cut off within its last record. */
+    /** The file was written by a version in which the platform was the only recipient, and ends within a record. */
     @Test
-    void aJournalOfTheOlderFormIsReadAlsoWithATornTail() throws Exception {
+    void readsAJournalOfTheOlderFormatWithATornTail() throws Exception {
         Files.copy(Path.of("src/test/resources/journal-before-claims.bin"), folder.resolve("journal"));
-        for (int life = 0; life < 2; life++) {
-            try (Journal journal = new Journal(folder, DISK, 12, new ProcessClock.Reference(1_790_000_001_000L, 6000, 9),
+        for (int start = 0; start < 2; start++) {
+            try (Journal journal = new Journal(folder, DISK_BYTES, 12, new ProcessClock.Reference(1_790_000_001_000L, 6000, 9),
                     FileChannel::open)) {
-                List<PendingMessage> held = journal.pendingMessages();
-                assertEquals(List.of("one", "two"), held.stream().map(h -> h.id).toList());
-                assertEquals(1_790_000_024_000L, held.get(0).deadlineMs);
-                assertEquals(List.of(true, false), held.get(0).attempts.stream().map(a -> a.neverRan).toList());
+                List<PendingMessage> pending = journal.pendingMessages();
+                assertEquals(List.of("one", "two"), pending.stream().map(m -> m.id).toList());
+                assertEquals(1_790_000_024_000L, pending.get(0).deadlineMs);
+                assertEquals(List.of(true, false), pending.get(0).attempts.stream().map(a -> a.neverRan).toList());
                 assertEquals(Optional.of(new PendingMessage.Notice(PendingMessage.FinalAnswer.REFUSED, 500)),
-                        held.get(1).pendingNotice);
-                held.forEach(h -> assertEquals(List.of(AnswerRecipient.PLATFORM), h.recipients));
+                        pending.get(1).pendingNotice);
+                pending.forEach(m -> assertEquals(List.of(AnswerRecipient.PLATFORM), m.recipients));
                 assertEquals(Map.of("three", true), journal.completedIds());
                 assertEquals(Relay.State.DOWN, journal.endpointHealth().get("s-1").state());
                 assertEquals(0.05, journal.sendRates().get(new Journal.SendRateKey(7, "")).perMs());
@@ -95,55 +95,55 @@
     }
 
     @Test
-    void claimsOutlastLivesAndCompactions() throws Exception {
-        AnswerRecipient asks = new AnswerRecipient("queue", "desk-1", true, true);
-        AnswerRecipient drops = new AnswerRecipient("queue", "desk-2", false, false);
+    void recipientsSurviveRestartsAndCompactions() throws Exception {
+        AnswerRecipient withDeliveries = new AnswerRecipient("queue", "desk-1", true, true);
+        AnswerRecipient withoutDeliveries = new AnswerRecipient("queue", "desk-2", false, false);
         try (Journal journal = open()) {
             PendingMessage only = new PendingMessage(journal.nextNumber(), "only", "order", "desk", Optional.empty(), 7, 12_345,
-                    new byte[3], asks);
-            PendingMessage both = held(journal, 3);
-            PendingMessage none = held(journal, 3);
-            PendingMessage told = held(journal, 3);
-            for (PendingMessage h : List.of(only, both, none, told)) {
-                journal.recordAccepted(h);
+                    new byte[3], withDeliveries);
+            PendingMessage both = message(journal, 3);
+            PendingMessage none = message(journal, 3);
+            PendingMessage delivered = message(journal, 3);
+            for (PendingMessage m : List.of(only, both, none, delivered)) {
+                journal.recordAccepted(m);
             }
-            journal.recordRecipient(both, drops);
+            journal.recordRecipient(both, withoutDeliveries);
             journal.recordAcknowledged(none, AnswerRecipient.PLATFORM);
-            journal.recordRecipient(told, asks);
-            journal.recordRecipient(told, drops);
-            journal.recordAnswer(told, new PendingMessage.Notice(PendingMessage.FinalAnswer.DELIVERED, 0));
+            journal.recordRecipient(delivered, withDeliveries);
+            journal.recordRecipient(delivered, withoutDeliveries);
+            journal.recordAnswer(delivered, new PendingMessage.Notice(PendingMessage.FinalAnswer.DELIVERED, 0));
             for (int i = 0; i < 20_000; i++) {
-                PendingMessage passing = held(journal, 100);
+                PendingMessage passing = message(journal, 100);
                 journal.recordAccepted(passing);
                 journal.recordCompleted(passing);
             }
         }
-        for (int life = 0; life < 2; life++) {
+        for (int start = 0; start < 2; start++) {
             try (Journal journal = open()) {
-                List<PendingMessage> held = journal.pendingMessages();
-                assertEquals(List.of(asks), held.get(0).recipients);
-                assertEquals(List.of(AnswerRecipient.PLATFORM, drops), held.get(1).recipients);
-                assertEquals(List.of(), held.get(2).recipients);
-                assertEquals(List.of(asks), held.get(3).recipients, "the others hear of no delivery");
+                List<PendingMessage> pending = journal.pendingMessages();
+                assertEquals(List.of(withDeliveries), pending.get(0).recipients);
+                assertEquals(List.of(AnswerRecipient.PLATFORM, withoutDeliveries), pending.get(1).recipients);
+                assertEquals(List.of(), pending.get(2).recipients);
+                assertEquals(List.of(withDeliveries), pending.get(3).recipients, "others get no deliveries");
                 assertEquals(Optional.of(new PendingMessage.Notice(PendingMessage.FinalAnswer.DELIVERED, 0)),
-                        held.get(3).pendingNotice);
+                        pending.get(3).pendingNotice);
             }
         }
     }
 
     @Test
-    void aMessageIsOverWhenTheLastOfItsClaimantsHasHeard() throws Exception {
-        AnswerRecipient asks = new AnswerRecipient("queue", "desk-1", true, true);
+    void aMessageIsCompletedWhenEveryRecipientHasAcknowledged() throws Exception {
+        AnswerRecipient withDeliveries = new AnswerRecipient("queue", "desk-1", true, true);
         try (Journal journal = open()) {
-            PendingMessage both = held(journal, 3);
+            PendingMessage both = message(journal, 3);
             journal.recordAccepted(both);
-            journal.recordRecipient(both, asks);
+            journal.recordRecipient(both, withDeliveries);
             journal.recordAnswer(both, new PendingMessage.Notice(PendingMessage.FinalAnswer.FAILED, 0));
             journal.recordAcknowledged(both, AnswerRecipient.PLATFORM);
         }
         try (Journal journal = open()) {
-            assertEquals(List.of(asks), journal.pendingMessages().get(0).recipients);
-            journal.recordAcknowledged(journal.pendingMessages().get(0), asks);
+            assertEquals(List.of(withDeliveries), journal.pendingMessages().get(0).recipients);
+            journal.recordAcknowledged(journal.pendingMessages().get(0), withDeliveries);
         }
         try (Journal journal = open()) {
             assertEquals(List.of(), journal.pendingMessages());
@@ -152,7 +152,7 @@
     }
 
     @Test
-    void healthOutlastsLivesAndCompactionsUntilAnEndpointIsInService() throws Exception {
+    void healthSurvivesRestartsAndCompactionsUntilTheEndpointIsInService() throws Exception {
         Journal.Health down = new Journal.Health(Relay.State.DOWN, 100, 0.5);
         Journal.Health warming = new Journal.Health(Relay.State.WARMING, 200, 0.25);
         Journal.Health up = new Journal.Health(Relay.State.UP, 300, 0.25);
@@ -161,12 +161,12 @@
             journal.recordHealth("s-2", down);
             journal.recordHealth("s-1", warming);
             journal.recordHealth("s-2", up);
-            PendingMessage held = held(journal, 1000);
-            journal.recordAccepted(held);
-            for (long written = 0; written < 2 * DISK; written += 50) {
+            PendingMessage message = message(journal, 1000);
+            journal.recordAccepted(message);
+            for (long written = 0; written < 2 * DISK_BYTES; written += 50) {
                 journal.recordHealth("s-3", down);
             }
-            assertTrue(journal.size() < DISK);
+            assertTrue(journal.size() < DISK_BYTES);
         }
         try (Journal journal = open()) {
             assertEquals(Map.of("s-1", warming, "s-3", down), journal.endpointHealth());
@@ -175,22 +175,22 @@
     }
 
     @Test
-    void aTornTailIsDroppedAndWrittenOver() throws Exception {
+    void dropsATornTailAndOverwritesIt() throws Exception {
         try (Journal journal = open()) {
-            journal.recordAccepted(held(journal, 10));
-            journal.recordAccepted(held(journal, 10));
+            journal.recordAccepted(message(journal, 10));
+            journal.recordAccepted(message(journal, 10));
         }
         Path file = folder.resolve("journal");
         byte[] whole = Files.readAllBytes(file);
-        int first = (whole.length - OPENED) / 2 + OPENED;
+        int first = (whole.length - CLOCK_RECORD_BYTES) / 2 + CLOCK_RECORD_BYTES;
         for (int cut = whole.length - 1; cut > first; cut -= 7) {
             Files.write(file, Arrays.copyOf(whole, cut));
             try (Journal journal = open()) {
                 assertEquals(1, journal.pendingMessages().size());
-                journal.recordAccepted(held(journal, 10));
+                journal.recordAccepted(message(journal, 10));
             }
             try (Journal journal = open()) {
-                assertEquals(2, journal.pendingMessages().size(), "what follows a torn tail must be found again");
+                assertEquals(2, journal.pendingMessages().size(), "records behind a torn tail must be found again");
             }
         }
         Files.write(file, whole);
@@ -200,33 +200,33 @@
         }
     }
 
-    /** Each bit of a recorded journal in turn: nothing that it held is harmed. */
+    /** Flips each bit of a journal file in turn; the restored state must not change. */
     @Test
-    void aWrongBitAnywhereIsMended() throws Exception {
-        byte[] whole = recorded();
+    void correctsASingleWrongBitAnywhere() throws Exception {
+        byte[] whole = recordedFile();
         Path file = folder.resolve("journal");
-        String held = described(whole);
+        String expected = describe(whole);
         for (int bit = 0; bit < whole.length * 8; bit++) {
             byte[] bytes = whole.clone();
             bytes[bit / 8] ^= (byte) (1 << bit % 8);
-            assertEquals(held, described(bytes), "bit " + bit);
+            assertEquals(expected, describe(bytes), "bit " + bit);
         }
         assertTrue(Files.size(file) > 0);
     }
 
-    /** Bytes in a row are lost: what is behind them is found again, and what was held before may have run. */
+    /** Overwrites 24 bytes: records behind them must be found, and messages accepted before them must count as possibly run. */
     @Test
-    void whatLiesBehindADamagedStretchIsFoundAndCountsAsMayHaveRun() throws Exception {
+    void findsRecordsBehindDamageAndAssumesAttemptsBeforeIt() throws Exception {
         PendingMessage before;
         PendingMessage behind;
         long damagedFrom;
         try (Journal journal = open()) {
-            before = held(journal, 20);
+            before = message(journal, 20);
             journal.recordAccepted(before);
             damagedFrom = journal.size();
             journal.recordAttempt(before, new PendingMessage.Attempt("s-1", 5000));
-            journal.recordAccepted(held(journal, 20));
-            behind = held(journal, 20);
+            journal.recordAccepted(message(journal, 20));
+            behind = message(journal, 20);
             journal.recordAccepted(behind);
         }
         Path file = folder.resolve("journal");
@@ -236,34 +236,34 @@
         }
         Files.write(file, bytes);
         try (Journal journal = open()) {
-            List<PendingMessage> held = List.copyOf(journal.pendingMessages());
-            assertEquals(before.id, held.get(0).id);
-            assertEquals(1, held.get(0).attempts.size(), "its attempt can't be read, but one may have run");
-            assertTrue(held.stream().anyMatch(h -> h.id.equals(behind.id)), "what lies behind is not lost");
-            assertEquals(List.of(), held.get(held.size() - 1).attempts, "it was taken after the damage");
+            List<PendingMessage> pending = List.copyOf(journal.pendingMessages());
+            assertEquals(before.id, pending.get(0).id);
+            assertEquals(1, pending.get(0).attempts.size(), "its attempt can't be read, but may have run");
+            assertTrue(pending.stream().anyMatch(m -> m.id.equals(behind.id)), "records behind the damage are not lost");
+            assertEquals(List.of(), pending.get(pending.size() - 1).attempts, "it was accepted after the damage");
         }
     }
 
-    /** A few messages in all their states, as bytes. */
-    private byte[] recorded() throws IOException {
+    /** The file of a journal with messages in each state. */
+    private byte[] recordedFile() throws IOException {
         try (Journal journal = open()) {
             for (int i = 0; i < 6; i++) {
-                PendingMessage h = held(journal, 3 + i);
-                journal.recordAccepted(h);
+                PendingMessage m = message(journal, 3 + i);
+                journal.recordAccepted(m);
                 if (i > 0) {
-                    journal.recordAttempt(h, new PendingMessage.Attempt("s-1", 100));
+                    journal.recordAttempt(m, new PendingMessage.Attempt("s-1", 100));
                 }
                 if (i == 2) {
-                    journal.recordNeverRan(h, 0);
+                    journal.recordNeverRan(m, 0);
                 }
                 if (i == 3) {
-                    journal.recordAnswer(h, new PendingMessage.Notice(PendingMessage.FinalAnswer.REFUSED, 500));
+                    journal.recordAnswer(m, new PendingMessage.Notice(PendingMessage.FinalAnswer.REFUSED, 500));
                 }
                 if (i == 4) {
-                    journal.recordCompleted(h);
+                    journal.recordCompleted(m);
                 }
                 if (i == 5) {
-                    journal.recordWithdrawn(h);
+                    journal.recordWithdrawn(m);
                 }
             }
             journal.recordHealth("s-1", new Journal.Health(Relay.State.DOWN, 100, 0.5));
@@ -272,21 +272,21 @@
         return Files.readAllBytes(folder.resolve("journal"));
     }
 
-    private String described(byte[] bytes) throws IOException {
+    private String describe(byte[] bytes) throws IOException {
         Files.write(folder.resolve("journal"), bytes);
         try (Journal journal = open()) {
             StringBuilder all = new StringBuilder();
-            for (PendingMessage h : journal.pendingMessages()) {
-                all.append(h.id).append(' ').append(h.deadlineMs).append(' ').append(h.body.length).append(' ');
-                h.attempts.forEach(a -> all.append(a.endpoint).append(a.neverRan).append(' '));
-                all.append(h.pendingNotice).append('\n');
+            for (PendingMessage m : journal.pendingMessages()) {
+                all.append(m.id).append(' ').append(m.deadlineMs).append(' ').append(m.body.length).append(' ');
+                m.attempts.forEach(a -> all.append(a.endpoint).append(a.neverRan).append(' '));
+                all.append(m.pendingNotice).append('\n');
             }
             return all.append(journal.endpointHealth()).append(journal.sendRates()).append(journal.completedIds()).toString();
         }
     }
 
     @Test
-    void theFolderStaysUnderItsBoundAtEveryMomentAndLosesNothing() throws Exception {
+    void theFolderStaysWithinItsBoundAndNothingIsLost() throws Exception {
         Random random = new Random(5);
         Deque<PendingMessage> live = new ArrayDeque<>();
         int refused = 0;
@@ -294,86 +294,86 @@
         try (Journal journal = open()) {
             for (int i = 0; i < 4000; i++) {
                 long before = journal.size();
-                PendingMessage h = held(journal, random.nextInt(4000));
+                PendingMessage m = message(journal, random.nextInt(4000));
                 try {
-                    journal.recordAccepted(h);
-                    live.add(h);
-                    journal.recordAttempt(h, new PendingMessage.Attempt("s-" + i, i));
-                    journal.recordNeverRan(h, 0);
+                    journal.recordAccepted(m);
+                    live.add(m);
+                    journal.recordAttempt(m, new PendingMessage.Attempt("s-" + i, i));
+                    journal.recordNeverRan(m, 0);
                 } catch (IOException full) {
                     refused++;
                 }
                 if (random.nextInt(100) < 48 || live.size() > 60) {
-                    PendingMessage over = live.remove();
-                    journal.recordAnswer(over, new PendingMessage.Notice(PendingMessage.FinalAnswer.FAILED, 0));
-                    journal.recordCompleted(over);
+                    PendingMessage oldest = live.remove();
+                    journal.recordAnswer(oldest, new PendingMessage.Notice(PendingMessage.FinalAnswer.FAILED, 0));
+                    journal.recordCompleted(oldest);
                 }
                 compactions += journal.size() < before ? 1 : 0;
-                // A compaction begun now would stand beside the file with all that is live.
+                // The file of a compaction that starts now would contain all live records, beside the old file.
                 long liveBytes = live.stream().mapToLong(x -> x.bytes).sum();
-                assertTrue(journal.size() + liveBytes + 1024 <= DISK, "at step " + i);
+                assertTrue(journal.size() + liveBytes + 1024 <= DISK_BYTES, "at step " + i);
             }
         }
         assertTrue(refused > 0, "live bytes that leave no room refuse new messages");
         assertTrue(compactions > 10);
         try (Journal journal = open()) {
-            assertEquals(live.stream().map(h -> h.id).toList(), journal.pendingMessages().stream().map(h -> h.id).toList());
+            assertEquals(live.stream().map(m -> m.id).toList(), journal.pendingMessages().stream().map(m -> m.id).toList());
         }
     }
 
     @Test
-    void thereIsRoomForEveryLaterRecordOfWhatWasTaken() throws Exception {
+    void hasRoomForAllLaterRecordsOfAcceptedMessages() throws Exception {
         try (Journal journal = open()) {
-            Deque<PendingMessage> taken = new ArrayDeque<>();
+            Deque<PendingMessage> accepted = new ArrayDeque<>();
             assertThrows(IOException.class, () -> {
                 while (true) {
-                    PendingMessage h = held(journal, 500);
-                    journal.recordAccepted(h);
-                    taken.add(h);
+                    PendingMessage m = message(journal, 500);
+                    journal.recordAccepted(m);
+                    accepted.add(m);
                 }
             });
-            for (PendingMessage h : taken) {
+            for (PendingMessage m : accepted) {
                 for (int i = 0; i < 12; i++) {
-                    journal.recordAttempt(h, new PendingMessage.Attempt("s-5be2a07c5be2a07c", i));
-                    journal.recordNeverRan(h, i);
+                    journal.recordAttempt(m, new PendingMessage.Attempt("s-5be2a07c5be2a07c", i));
+                    journal.recordNeverRan(m, i);
                 }
-                journal.recordAnswer(h, new PendingMessage.Notice(PendingMessage.FinalAnswer.REFUSED, 1));
+                journal.recordAnswer(m, new PendingMessage.Notice(PendingMessage.FinalAnswer.REFUSED, 1));
             }
-            for (PendingMessage h : taken) {
-                journal.recordCompleted(h);
+            for (PendingMessage m : accepted) {
+                journal.recordCompleted(m);
             }
-            journal.recordAccepted(held(journal, 500));
+            journal.recordAccepted(message(journal, 500));
         }
     }
 
     private Journal open(long wallMs, long monoMs, long boot) throws IOException {
-        return new Journal(folder, DISK, 12, new ProcessClock.Reference(wallMs, monoMs, boot), FileChannel::open);
+        return new Journal(folder, DISK_BYTES, 12, new ProcessClock.Reference(wallMs, monoMs, boot), FileChannel::open);
     }
 
-    /** Set back by five minutes, then on by ten: in the same boot, times keep their distance. */
+    /** The wall clock is set back by 5 minutes, then forward by 10: within one boot, intervals between times must not change. */
     @Test
-    void aClockThatIsSetBetweenTwoLivesMovesNoTime() throws Exception {
+    void settingTheWallClockBetweenTwoProcessesMovesNoTime() throws Exception {
         try (Journal journal = open(1_000_000, 5000, 9)) {
-            PendingMessage h = new PendingMessage(journal.nextNumber(), "id", "order", "desk", Optional.of("key"), 7, 1_012_000,
+            PendingMessage m = new PendingMessage(journal.nextNumber(), "id", "order", "desk", Optional.of("key"), 7, 1_012_000,
                     new byte[1]);
-            journal.recordAccepted(h);
-            journal.recordAttempt(h, new PendingMessage.Attempt("s-1", 1_001_000));
+            journal.recordAccepted(m);
+            journal.recordAttempt(m, new PendingMessage.Attempt("s-1", 1_001_000));
             journal.recordHealth("s-1", new Journal.Health(Relay.State.DOWN, 1_002_000, 0));
         }
         long back = -300_000;
         try (Journal journal = open(1_004_000 + back, 9000, 9)) {
-            PendingMessage h = journal.pendingMessages().iterator().next();
-            assertEquals(1_012_000 + back, h.deadlineMs);
-            assertEquals(1_001_000 + back, h.attempts.get(0).sentAtMs);
+            PendingMessage m = journal.pendingMessages().iterator().next();
+            assertEquals(1_012_000 + back, m.deadlineMs);
+            assertEquals(1_001_000 + back, m.attempts.get(0).sentAtMs);
             assertEquals(1_002_000 + back, journal.endpointHealth().get("s-1").sinceMs());
-            journal.recordAttempt(h, new PendingMessage.Attempt("s-2", 1_005_000 + back));
+            journal.recordAttempt(m, new PendingMessage.Attempt("s-2", 1_005_000 + back));
         }
-        long on = 600_000;
-        try (Journal journal = open(1_007_000 + on, 12_000, 9)) {
-            PendingMessage h = journal.pendingMessages().iterator().next();
-            assertEquals(1_012_000 + on, h.deadlineMs, "each record by the life that wrote it");
-            assertEquals(List.of(1_001_000 + on, 1_005_000 + on),
-                    h.attempts.stream().map(x -> x.sentAtMs).toList());
+        long forward = 600_000;
+        try (Journal journal = open(1_007_000 + forward, 12_000, 9)) {
+            PendingMessage m = journal.pendingMessages().iterator().next();
+            assertEquals(1_012_000 + forward, m.deadlineMs, "each record by the clock of the process that wrote it");
+            assertEquals(List.of(1_001_000 + forward, 1_005_000 + forward),
+                    m.attempts.stream().map(x -> x.sentAtMs).toList());
         }
         try (Journal journal = open(2_000_000, 10, 8)) {
             assertEquals(1_012_000, journal.pendingMessages().iterator().next().deadlineMs, "another boot: the wall clock");
@@ -381,7 +381,7 @@
     }
 
     @Test
-    void idsThatAreOverAndPacesOutlastLivesAndCompactionsWithinTheirPart() throws Exception {
+    void completedIdsAndSendRatesSurviveRestartsAndCompactionsWithinTheirShare() throws Exception {
         Relay.Pace pace = new Relay.Pace(0.25, 0.1);
         Journal.SendRateKey shared = new Journal.SendRateKey(7, "");
         try (Journal journal = open()) {
@@ -390,40 +390,40 @@
             journal.recordSendRate(new Journal.SendRateKey(7, "s-1"), pace);
             journal.recordSendRate(new Journal.SendRateKey(7, "s-1"), new Relay.Pace(Double.POSITIVE_INFINITY, 0));
             for (int i = 0; i < 3000; i++) {
-                PendingMessage h = held(journal, 100);
-                journal.recordAccepted(h);
+                PendingMessage m = message(journal, 100);
+                journal.recordAccepted(m);
                 if (i % 3 == 0) {
-                    journal.recordAnswer(h, new PendingMessage.Notice(PendingMessage.FinalAnswer.FAILED, 0));
+                    journal.recordAnswer(m, new PendingMessage.Notice(PendingMessage.FinalAnswer.FAILED, 0));
                 }
                 if (i % 3 == 2) {
-                    journal.recordWithdrawn(h);
+                    journal.recordWithdrawn(m);
                 } else {
-                    journal.recordCompleted(h);
+                    journal.recordCompleted(m);
                 }
-                assertTrue(journal.size() < DISK);
+                assertTrue(journal.size() < DISK_BYTES);
             }
         }
         try (Journal journal = open()) {
             assertEquals(Map.of(shared, pace), journal.sendRates());
             assertEquals(Boolean.FALSE, journal.completedIds().get("id-2997"));
             assertEquals(Boolean.TRUE, journal.completedIds().get("id-2998"));
-            assertEquals(null, journal.completedIds().get("id-2999"), "its client never heard of it");
-            assertEquals(null, journal.completedIds().get("id-0"), "only the newest are known");
+            assertEquals(null, journal.completedIds().get("id-2999"), "its client was never told of it");
+            assertEquals(null, journal.completedIds().get("id-0"), "only the newest are kept");
             assertTrue(journal.completedIds().size() > 50);
         }
     }
 
-    /** A disk that takes so many more bytes, then fails half-way through a write. */
+    /** A disk that accepts {@code room} more bytes and then fails in the middle of a write, and to truncate if so set. */
     private static final class SmallDisk {
         private long room = Long.MAX_VALUE;
-        private boolean cuts = true;
+        private boolean canTruncate = true;
 
         FileChannel open(Path path, StandardOpenOption... options) throws IOException {
             FileChannel disk = FileChannel.open(path, options);
             return new FailingChannel(disk) {
                 @Override
                 public FileChannel truncate(long size) throws IOException {
-                    if (!cuts) {
+                    if (!canTruncate) {
                         throw new IOException("Input/output error");
                     }
                     return super.truncate(size);
@@ -448,15 +448,15 @@
     }
 
     @Test
-    void aWriteThatFailsHalfWayLeavesWhatStandsAndWhatComesLater() throws Exception {
+    void aPartialWriteHarmsNeitherEarlierNorLaterRecords() throws Exception {
         for (int room = 0; room < 120; room += 7) {
             Files.deleteIfExists(folder.resolve("journal"));
             SmallDisk disk = new SmallDisk();
-            try (Journal journal = new Journal(folder, DISK, 12, new ProcessClock.Reference(0, 0, 0), disk::open)) {
-                PendingMessage first = held(journal, 10);
+            try (Journal journal = new Journal(folder, DISK_BYTES, 12, new ProcessClock.Reference(0, 0, 0), disk::open)) {
+                PendingMessage first = message(journal, 10);
                 journal.recordAccepted(first);
                 disk.room = room;
-                PendingMessage second = held(journal, 200);
+                PendingMessage second = message(journal, 200);
                 assertThrows(IOException.class, () -> journal.recordAccepted(second));
                 assertThrows(IOException.class, () -> {
                     for (int i = 0; i < 10; i++) {
@@ -464,32 +464,32 @@
                     }
                 });
                 disk.room = Long.MAX_VALUE;
-                journal.recordAccepted(held(journal, 10));
+                journal.recordAccepted(message(journal, 10));
             }
             try (Journal journal = open()) {
-                assertEquals(List.of("id-0", "id-2"), journal.pendingMessages().stream().map(h -> h.id).toList(),
+                assertEquals(List.of("id-0", "id-2"), journal.pendingMessages().stream().map(m -> m.id).toList(),
                         "with room for " + room);
-                assertTrue(journal.pendingMessages().stream().flatMap(h -> h.attempts.stream())
+                assertTrue(journal.pendingMessages().stream().flatMap(m -> m.attempts.stream())
                         .noneMatch(a -> a.endpoint.isEmpty()), "nothing counts as damaged, with room for " + room);
             }
         }
     }
 
-    /** A turn's records go out in one piece; if that fails, a later life knows nothing of it, and of all later ones. */
+    /** A batch is written in one piece. If that fails, a restart finds none of its records, but all later ones. */
     @Test
-    void aTurnThatCannotBeWrittenLeavesNothingOfItself() throws Exception {
+    void aBatchThatCannotBeWrittenLeavesNoRecords() throws Exception {
         for (int room = 0; room < 200; room += 13) {
             Files.deleteIfExists(folder.resolve("journal"));
             SmallDisk disk = new SmallDisk();
-            try (Journal journal = new Journal(folder, DISK, 12, new ProcessClock.Reference(0, 0, 0), disk::open)) {
-                PendingMessage first = held(journal, 10);
+            try (Journal journal = new Journal(folder, DISK_BYTES, 12, new ProcessClock.Reference(0, 0, 0), disk::open)) {
+                PendingMessage first = message(journal, 10);
                 journal.recordAccepted(first);
                 long size = journal.size();
                 journal.beginBatch();
-                PendingMessage second = held(journal, 200);
+                PendingMessage second = message(journal, 200);
                 journal.recordAccepted(second);
                 journal.recordAttempt(first, new PendingMessage.Attempt("s-1", 1));
-                assertEquals(size, Files.size(folder.resolve("journal")), "nothing is written before the turn's end");
+                assertEquals(size, Files.size(folder.resolve("journal")), "nothing is written before the batch is flushed");
                 disk.room = room;
                 assertThrows(IOException.class, journal::flushBatch);
                 assertEquals(size, Files.size(folder.resolve("journal")));
@@ -499,7 +499,7 @@
                 journal.recordAttempt(first, new PendingMessage.Attempt("s-2", 2));
             }
             try (Journal journal = open()) {
-                assertEquals(List.of("id-0"), journal.pendingMessages().stream().map(h -> h.id).toList());
+                assertEquals(List.of("id-0"), journal.pendingMessages().stream().map(m -> m.id).toList());
                 List<PendingMessage.Attempt> attempts = journal.pendingMessages().get(0).attempts;
                 assertEquals(List.of("s-1", "s-2"), attempts.stream().map(a -> a.endpoint).toList());
                 assertEquals(List.of(true, false), attempts.stream().map(a -> a.neverRan).toList());
@@ -508,68 +508,68 @@
         }
     }
 
-    /** Guards against a message that is refused and stands whole in the file: its write failed behind it, and so did the cut. */
+    /** Guards against refusing a message whose record is whole in the file: the write failed behind it, and so did truncation. */
     @Test
-    void whatIsRecordedOfATurnThatCouldBeNeitherWrittenNorCutIsWhatTheNextLifeFinds() throws Exception {
+    void reportsTheMessagesOfABatchThatCouldBeNeitherWrittenNorTruncated() throws Exception {
         int found = 0;
         for (int room = 0; room < 700; room += 13) {
             Files.deleteIfExists(folder.resolve("journal"));
             SmallDisk disk = new SmallDisk();
             List<String> recorded = new ArrayList<>();
-            try (Journal journal = new Journal(folder, DISK, 12, new ProcessClock.Reference(0, 0, 0), disk::open)) {
+            try (Journal journal = new Journal(folder, DISK_BYTES, 12, new ProcessClock.Reference(0, 0, 0), disk::open)) {
                 journal.beginBatch();
-                List<PendingMessage> taken = new ArrayList<>();
+                List<PendingMessage> accepted = new ArrayList<>();
                 for (int i = 0; i < 3; i++) {
-                    taken.add(held(journal, 200));
-                    journal.recordAccepted(taken.get(i));
+                    accepted.add(message(journal, 200));
+                    journal.recordAccepted(accepted.get(i));
                 }
                 disk.room = room;
-                disk.cuts = false;
+                disk.canTruncate = false;
                 assertThrows(IOException.class, journal::flushBatch);
-                taken.stream().filter(journal::isRecorded).forEach(held -> recorded.add(held.id));
+                accepted.stream().filter(journal::isRecorded).forEach(m -> recorded.add(m.id));
             }
             try (Journal journal = open()) {
-                assertEquals(recorded, journal.pendingMessages().stream().map(h -> h.id).toList(), "with room for " + room);
+                assertEquals(recorded, journal.pendingMessages().stream().map(m -> m.id).toList(), "with room for " + room);
                 found += recorded.size();
             }
         }
-        assertTrue(found > 20, "so many were found: " + found);
+        assertTrue(found > 20, "messages found: " + found);
     }
 
-    /** Guards against an event loop that writes all that is held once for each record while a disk goes on failing. */
+    /** Guards against an event loop that rewrites the whole file for each record while a disk keeps failing. */
     @Test
-    void aJournalThatItsOwnerRepairsIsNotWrittenAnewForEachRecord() throws Exception {
+    void withExplicitRepairAFailingRecordDoesNotRewriteTheFile() throws Exception {
         SmallDisk disk = new SmallDisk();
         AtomicInteger opened = new AtomicInteger();
-        try (Journal journal = new Journal(folder, DISK, 12, new ProcessClock.Reference(0, 0, 0), (path, options) -> {
+        try (Journal journal = new Journal(folder, DISK_BYTES, 12, new ProcessClock.Reference(0, 0, 0), (path, options) -> {
             opened.incrementAndGet();
             return disk.open(path, options);
         })) {
             journal.useExplicitRepair();
-            PendingMessage first = held(journal, 10);
+            PendingMessage first = message(journal, 10);
             journal.recordAccepted(first);
             disk.room = 0;
             assertThrows(IOException.class,
                     () -> journal.recordAnswer(first, new PendingMessage.Notice(PendingMessage.FinalAnswer.FAILED, 0)));
             int before = opened.get();
             for (int i = 0; i < 100; i++) {
-                assertThrows(IOException.class, () -> journal.recordAccepted(held(journal, 10)));
+                assertThrows(IOException.class, () -> journal.recordAccepted(message(journal, 10)));
             }
             assertEquals(before, opened.get());
             assertThrows(IOException.class, journal::repair);
             disk.room = Long.MAX_VALUE;
             journal.repair();
-            journal.recordAccepted(held(journal, 10));
+            journal.recordAccepted(message(journal, 10));
         }
     }
 
-    /** After a turn that could not be written the next record is written with all that is live: an end tells of itself there. */
+    /** After a failed batch the next record rewrites the file: the id of a message that it completes must be in the new file. */
     @Test
-    void theIdOfAnEndThatCompactsIsKnownInTheNextLife() throws Exception {
+    void theIdOfAMessageWhoseCompletionCompactsIsKnownAfterARestart() throws Exception {
         SmallDisk disk = new SmallDisk();
-        try (Journal journal = new Journal(folder, DISK, 12, new ProcessClock.Reference(0, 0, 0), disk::open)) {
-            PendingMessage first = held(journal, 10);
-            PendingMessage second = held(journal, 10);
+        try (Journal journal = new Journal(folder, DISK_BYTES, 12, new ProcessClock.Reference(0, 0, 0), disk::open)) {
+            PendingMessage first = message(journal, 10);
+            PendingMessage second = message(journal, 10);
             journal.recordAccepted(first);
             journal.recordAccepted(second);
             journal.beginBatch();
@@ -580,14 +580,14 @@
             journal.recordCompleted(second);
         }
         try (Journal journal = open()) {
-            assertEquals(List.of("id-0"), journal.pendingMessages().stream().map(h -> h.id).toList());
+            assertEquals(List.of("id-0"), journal.pendingMessages().stream().map(m -> m.id).toList());
             assertEquals(Map.of("id-1", true), journal.completedIds());
         }
     }
 
-    /** At every byte of a recorded journal: what is held is what the whole records before the cut say. */
+    /** Truncates a journal file at every byte: the restored state must be that of the whole records before. */
     @Test
-    void cutAnywhereTheJournalHoldsWhatWasWritten() throws Exception {
+    void truncatedAnywhereTheJournalRestoresTheWholeRecords() throws Exception {
         List<Long> ends = new ArrayList<>();
         List<List<String>> states = new ArrayList<>();
         List<String> now = new ArrayList<>();
@@ -598,18 +598,18 @@
                 ends.add(journal.size());
                 states.add(List.copyOf(now));
                 int step = random.nextInt(live.isEmpty() ? 1 : 4);
-                PendingMessage h = step == 0 ? held(journal, random.nextInt(40)) : live.get(random.nextInt(live.size()));
+                PendingMessage m = step == 0 ? message(journal, random.nextInt(40)) : live.get(random.nextInt(live.size()));
                 if (step == 0) {
-                    journal.recordAccepted(h);
-                    live.add(h);
-                    now.add(h.id + " ");
-                } else if (step < 3 && h.attempts.size() < 12) {
-                    journal.recordAttempt(h, new PendingMessage.Attempt("s-1", i));
-                    now.set(live.indexOf(h), now.get(live.indexOf(h)) + "a");
+                    journal.recordAccepted(m);
+                    live.add(m);
+                    now.add(m.id + " ");
+                } else if (step < 3 && m.attempts.size() < 12) {
+                    journal.recordAttempt(m, new PendingMessage.Attempt("s-1", i));
+                    now.set(live.indexOf(m), now.get(live.indexOf(m)) + "a");
                 } else {
-                    journal.recordCompleted(h);
-                    now.remove(live.indexOf(h));
-                    live.remove(h);
+                    journal.recordCompleted(m);
+                    now.remove(live.indexOf(m));
+                    live.remove(m);
                 }
             }
             ends.add(journal.size());
@@ -618,24 +618,24 @@
         Path file = folder.resolve("journal");
         byte[] whole = Files.readAllBytes(file);
         int at = 0;
-        for (int cut = OPENED; cut <= whole.length; cut++) {
+        for (int cut = CLOCK_RECORD_BYTES; cut <= whole.length; cut++) {
             while (at + 1 < ends.size() && ends.get(at + 1) <= cut) {
                 at++;
             }
             Files.write(file, Arrays.copyOf(whole, cut));
             try (Journal journal = open()) {
                 assertEquals(states.get(at), journal.pendingMessages().stream()
-                        .map(h -> h.id + " " + "a".repeat(h.attempts.size())).toList(), "cut at byte " + cut);
+                        .map(m -> m.id + " " + "a".repeat(m.attempts.size())).toList(), "cut at byte " + cut);
             }
         }
     }
 
     @Test
-    void anUnfinishedCompactionIsRemoved() throws Exception {
+    void removesTheFileOfAnUnfinishedCompaction() throws Exception {
         Files.write(folder.resolve("journal.next"), new byte[5000]);
         try (Journal journal = open()) {
             assertTrue(Files.notExists(folder.resolve("journal.next")));
-            assertEquals(OPENED, journal.size());
+            assertEquals(CLOCK_RECORD_BYTES, journal.size());
         }
     }
 }
--- a/src/test/java/slipfield/settings/SectionTest.java
+++ b/src/test/java/slipfield/settings/SectionTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.function.Executable;
 import slipfield.config.BadInput;
 
-/** Operators' files: what is read, and that each error points to its place and names the mend. */
+/** Values of operators' files are read, and each error names its position and a remedy. */
 class SectionTest {
     private static final Path FILE = Path.of("x.yaml");
 
@@ -20,14 +20,14 @@
         return SettingsFile.read(FILE, text);
     }
 
-    private static void wrong(String start, Executable asked) {
-        String message = assertThrows(BadInput.class, asked).getMessage();
+    private static void assertError(String start, Executable reading) {
+        String message = assertThrows(BadInput.class, reading).getMessage();
         assertTrue(message.startsWith("x.yaml:" + start), message);
-        assertTrue(message.contains(";"), "no mend in: " + message);
+        assertTrue(message.contains(";"), "no remedy in: " + message);
     }
 
     @Test
-    void valuesAreReadWithTheirUnits() throws Exception {
+    void readsValuesWithTheirUnits() throws Exception {
         Section s = read("a: 250ms\nb: 1.5s\nc: 2m\nd: 600/m\ne: 25%\nf: [x, y]\ng: {h: true}\ni:\n  - {j: 7}\n");
         assertEquals(250, s.millis("a", 0, 0, 1000));
         assertEquals(1500, s.millis("b", 0, 0, 2000));
@@ -44,33 +44,33 @@
     }
 
     @Test
-    void eachErrorPointsToItsPlace() throws Exception {
-        wrong("1:1:", () -> read(""));
-        wrong("1:1:", () -> read("- a\n- b"));
-        wrong("2:1:", () -> read("a: 1\na: 2"));
-        wrong("2:", () -> read("a: [1\nb: 2"));
-        wrong("2:3:", () -> read("a:\n  b: 1\n").section("a").orElseThrow().allowOnly("c"));
-        wrong("1:4:", () -> read("a: 5").millis("a", 0, 0, 10));
-        wrong("1:4:", () -> read("a: 5s").millis("a", 0, 0, 10));
-        wrong("1:4:", () -> read("a: 1e99s").millis("a", 0, 0, 10));
-        wrong("1:4:", () -> read("a: 5").perSecond("a", 0, 0, 10));
-        wrong("1:4:", () -> read("a: 11/s").perSecond("a", 0, 0, 10));
-        wrong("1:4:", () -> read("a: NaN").share("a", 0));
-        wrong("1:4:", () -> read("a: 120%").share("a", 0));
-        wrong("1:4:", () -> read("a: NaN").number("a", 0, 0, 1));
-        wrong("1:4:", () -> read("a: 99999999999999999999").integer("a", 0, 0, 10));
-        wrong("1:4:", () -> read("a: [1]").text("a", ""));
-        wrong("1:4:", () -> read("a: yes").flag("a", false));
-        wrong("1:4:", () -> read("a: b").texts("a"));
-        wrong("1:4:", () -> read("a: b").section("a"));
-        wrong("1:5:", () -> read("a: [localhost:1]").addresses("a"));
-        wrong("1:4:", () -> read("a: z").oneOf("a", "x", Set.of("x", "y")));
-        wrong("1:1:", () -> read("a: z").text("b"));
+    void eachErrorNamesItsPosition() throws Exception {
+        assertError("1:1:", () -> read(""));
+        assertError("1:1:", () -> read("- a\n- b"));
+        assertError("2:1:", () -> read("a: 1\na: 2"));
+        assertError("2:", () -> read("a: [1\nb: 2"));
+        assertError("2:3:", () -> read("a:\n  b: 1\n").section("a").orElseThrow().allowOnly("c"));
+        assertError("1:4:", () -> read("a: 5").millis("a", 0, 0, 10));
+        assertError("1:4:", () -> read("a: 5s").millis("a", 0, 0, 10));
+        assertError("1:4:", () -> read("a: 1e99s").millis("a", 0, 0, 10));
+        assertError("1:4:", () -> read("a: 5").perSecond("a", 0, 0, 10));
+        assertError("1:4:", () -> read("a: 11/s").perSecond("a", 0, 0, 10));
+        assertError("1:4:", () -> read("a: NaN").share("a", 0));
+        assertError("1:4:", () -> read("a: 120%").share("a", 0));
+        assertError("1:4:", () -> read("a: NaN").number("a", 0, 0, 1));
+        assertError("1:4:", () -> read("a: 99999999999999999999").integer("a", 0, 0, 10));
+        assertError("1:4:", () -> read("a: [1]").text("a", ""));
+        assertError("1:4:", () -> read("a: yes").flag("a", false));
+        assertError("1:4:", () -> read("a: b").texts("a"));
+        assertError("1:4:", () -> read("a: b").section("a"));
+        assertError("1:5:", () -> read("a: [localhost:1]").addresses("a"));
+        assertError("1:4:", () -> read("a: z").oneOf("a", "x", Set.of("x", "y")));
+        assertError("1:1:", () -> read("a: z").text("b"));
     }
 
-    /** Whatever stands in a file, it is read or refused; nothing else is thrown, and nothing loops. */
+    /** Random changes of a file: it is read, or refused with {@link BadInput}; nothing else is thrown, and nothing loops. */
     @Test
-    void noTextBreaksTheReader() throws Exception {
+    void anyTextIsReadOrRefused() throws Exception {
         String base = "precedence: [a, b]\nrules:\n  steady: &x 1s\n  more: *x\nlist:\n  - {k: \"v\"}\n  - |\n    text\n";
         Random random = new Random(7);
         String letters = "{}[]:,&*!|>'\"%@`#-? \n\t\\a1\u0000\ufeff";
--- a/src/test/java/slipfield/work/WorkerTest.java
+++ b/src/test/java/slipfield/work/WorkerTest.java
@@ -25,7 +25,7 @@
 import slipfield.work.decide.Kind;
 import slipfield.work.decide.Scheduler;
 
-/** Who does the work: a real loop and a real pool. */
+/** The worker with a real event loop and a real thread pool. */
 @Timeout(60)
 class WorkerTest {
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -82,7 +82,7 @@
             pooled.add(pooled.size());
             return new Task.SliceResult(100, pooled.size() < 50);
         });
-        Stub.await("both are done", () -> slices.size() == 100 && pooled.size() == 50
+        Stub.await("both jobs are done", () -> slices.size() == 100 && pooled.size() == 50
                 && on(worker::report).stream().allMatch(r -> r.due() + r.later() + r.running() == 0));
         assertEquals(IntStream.range(0, 100).boxed().toList(), slices);
         assertEquals(IntStream.range(0, 50).boxed().toList(), pooled);
@@ -94,26 +94,26 @@
     }
 
     @Test
-    void aSliceThatNeverEndsIsNamedAndOthersGoOn() throws Exception {
+    void aSliceThatNeverEndsIsReportedAndOtherKindsGoOn() throws Exception {
         CountDownLatch never = new CountDownLatch(1);
         AtomicInteger done = new AtomicInteger();
         add(job("hangs", "disk"), () -> {
             never.await();
             return Task.SliceResult.LAST;
         });
-        Stub.await("its kind is stopped", () -> on(worker::report).get(2).stopped().startsWith("hangs: a slice has not ended"));
+        Stub.await("the kind is stopped", () -> on(worker::report).get(2).stopped().startsWith("hangs: a slice has not ended"));
         add(job("same kind", "disk"), () -> new Task.SliceResult(done.addAndGet(1000), false));
         for (int i = 0; i < 20; i++) {
             add(job("other", "other disk"), () -> new Task.SliceResult(done.incrementAndGet(), false));
         }
-        Stub.await("others are done", () -> done.get() >= 20);
+        Stub.await("jobs of the other kind are done", () -> done.get() >= 20);
         never.countDown();
-        Stub.await("it has ended", () -> on(worker::report).get(2).running() == 0);
-        assertEquals(20, done.get(), "its kind stays stopped");
+        Stub.await("the slice has ended", () -> on(worker::report).get(2).running() == 0);
+        assertEquals(20, done.get(), "the kind stays stopped");
     }
 
     @Test
-    void aTaskThatThrowsDoesNoHarmToOthers() throws Exception {
+    void aTaskThatThrowsIsRetriedAndDoesNotAffectOthers() throws Exception {
         AtomicInteger tries = new AtomicInteger();
         AtomicInteger good = new AtomicInteger();
         add(job("throws", "live"), () -> {
@@ -127,7 +127,7 @@
             good.incrementAndGet();
             return Task.SliceResult.LAST;
         });
-        Stub.await("it is tried again until it is done, and others meanwhile", () -> tries.get() == 3 && good.get() > 20);
+        Stub.await("the task is retried until it succeeds, and others run meanwhile", () -> tries.get() == 3 && good.get() > 20);
         assertEquals(2, on(worker::report).get(0).thrown());
     }
 
@@ -135,11 +135,11 @@
         return depth < 0 ? Task.SliceResult.LAST : deep(depth + 1);
     }
 
-    /** A loop that was held up does what ends wait for first, and the rest once it is on time again. */
+    /** A delayed event loop first runs the work that final answers wait for, and the rest when it is on time again. */
     @Test
-    void aLoopThatIsLateDoesEndsAlone() throws Exception {
+    void aLateLoopRunsOnlyFinalAnswers() throws Exception {
         List<String> order = new ArrayList<>();
-        CountDownLatch held = new CountDownLatch(1);
+        CountDownLatch endsRun = new CountDownLatch(1);
         loop.execute(() -> {
             worker.add(Job.once("live", "live", worker.nowMs() + 60), () -> {
                 order.add("live at " + (worker.latenessMs() >= Scheduler.LATE_MS ? "a late loop" : "rest"));
@@ -147,7 +147,7 @@
             });
             worker.add(Job.once("ends", "ends", worker.nowMs() + 60), () -> {
                 order.add("ends");
-                held.countDown();
+                endsRun.countDown();
                 return Task.SliceResult.LAST;
             });
             long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(300);
@@ -155,13 +155,13 @@
                 Thread.onSpinWait();
             }
         });
-        assertTrue(held.await(20, TimeUnit.SECONDS));
-        Stub.await("both are done", () -> on(() -> order.size() == 2));
+        assertTrue(endsRun.await(20, TimeUnit.SECONDS));
+        Stub.await("both jobs are done", () -> on(() -> order.size() == 2));
         assertEquals(List.of("ends", "live at rest"), on(() -> List.copyOf(order)));
     }
 
     @Test
-    void nothingIsBegunAfterItsEnd() {
+    void startsNoSliceAfterClose() {
         AtomicInteger done = new AtomicInteger();
         on(() -> {
             worker.close();
