--- a/src/main/java/slipfield/config/Params.java
+++ b/src/main/java/slipfield/config/Params.java
@@ -124,7 +124,7 @@
         return textOr(name, "false").equals("true");
     }
 
-    /** The values of a list of plain values; empty if it is missing. */
+    /** The values of a list of plain values; empty if it is missing, empty or {@code -}. */
     public List<String> list(String name) {
         String value = textOr(name, "");
         return value.isEmpty() || value.equals("-") ? List.of() : List.of(value.split(","));
--- a/src/main/java/slipfield/journal/Journal.java
+++ b/src/main/java/slipfield/journal/Journal.java
@@ -88,7 +88,7 @@
             Replay replay = new Replay(state, Optional.of(clock));
             replayed = replay.read(Files.readAllBytes(file));
             size = replay.end();
-            // Records that are appended behind a torn tail would not be found again.
+            // Records that are appended after a torn tail would not be found again.
             channel.truncate(size);
             channel.position(size);
         } catch (IOException e) {
@@ -354,7 +354,7 @@
         clearBatch();
         recorded.clear();
         if (stale) {
-            // The records are part of the state too. Nothing may be appended behind a torn record.
+            // The records are part of the state too. Nothing may be appended after a torn record.
             compact();
             return;
         }
@@ -422,7 +422,7 @@
         }
     }
 
-    /** Writes all of the bytes. A partial record is truncated after a failure: a restart would lose the records behind it. */
+    /** Writes all of the bytes. A partial record is truncated after a failure: a restart would lose the records after it. */
     private void writeAll(FileChannel to, byte[] bytes) throws IOException {
         long start = to.position();
         ByteBuffer buffer = ByteBuffer.wrap(bytes);
@@ -441,7 +441,7 @@
             to.truncate(start);
             return true;
         } catch (IOException e) {
-            // Nothing may be written behind the partial record.
+            // Nothing may be written after the partial record.
             stale = true;
             cause.addSuppressed(e);
             return false;
--- a/src/main/java/slipfield/journal/JournalReader.java
+++ b/src/main/java/slipfield/journal/JournalReader.java
@@ -45,7 +45,7 @@
         return journal.replayed().lost();
     }
 
-    /** Bytes behind the last whole record. */
+    /** Bytes after the last whole record. */
     public long tornBytes() {
         return journal.replayed().torn();
     }
--- a/src/main/java/slipfield/journal/RecordFormat.java
+++ b/src/main/java/slipfield/journal/RecordFormat.java
@@ -28,7 +28,7 @@
     /** The id of a completed message, in a compacted file. */
     static final int COMPLETED_ID = 8;
     static final int SEND_RATE = 9;
-    /** The clock by which the times in the records behind this one were read. */
+    /** The clock by which the times in the records after this one were read. */
     static final int CLOCK = 10;
     /** A recipient of the message's final answer besides the platform, or in place of it. */
     static final int RECIPIENT = 11;
--- a/src/main/java/slipfield/journal/Replay.java
+++ b/src/main/java/slipfield/journal/Replay.java
@@ -8,7 +8,7 @@
 import slipfield.policy.Relay;
 
 /**
- * Rebuilds the journal's state from the bytes of its file. A record with one wrong bit is corrected by its checksum. Behind a
+ * Rebuilds the journal's state from the bytes of its file. A record with one wrong bit is corrected by its checksum. After a
  * record that can't be corrected, reading continues at the next whole record, and the worst is assumed of the lost ones: each
  * message that is pending at that point may have run.
  */
@@ -158,7 +158,7 @@
                 }
                 return;
             }
-            default -> throw new IOException("unknown record " + type);
+            default -> throw new IOException("unknown record type " + type);
         }
         state.count(message, length);
     }
--- a/src/test/java/slipfield/journal/JournalTest.java
+++ b/src/test/java/slipfield/journal/JournalTest.java
@@ -190,7 +190,7 @@
                 journal.recordAccepted(message(journal, 10));
             }
             try (Journal journal = open()) {
-                assertEquals(2, journal.pendingMessages().size(), "records behind a torn tail must be found again");
+                assertEquals(2, journal.pendingMessages().size(), "records after a torn tail must be found again");
             }
         }
         Files.write(file, whole);
@@ -214,11 +214,11 @@
         assertTrue(Files.size(file) > 0);
     }
 
-    /** Overwrites 24 bytes: records behind them must be found, and messages accepted before them must count as possibly run. */
+    /** Overwrites 24 bytes: records after them must be found, and messages accepted before them must count as possibly run. */
     @Test
-    void findsRecordsBehindDamageAndAssumesAttemptsBeforeIt() throws Exception {
+    void findsRecordsAfterDamageAndAssumesAttemptsBeforeIt() throws Exception {
         PendingMessage before;
-        PendingMessage behind;
+        PendingMessage after;
         long damagedFrom;
         try (Journal journal = open()) {
             before = message(journal, 20);
@@ -226,8 +226,8 @@
             damagedFrom = journal.size();
             journal.recordAttempt(before, new PendingMessage.Attempt("s-1", 5000));
             journal.recordAccepted(message(journal, 20));
-            behind = message(journal, 20);
-            journal.recordAccepted(behind);
+            after = message(journal, 20);
+            journal.recordAccepted(after);
         }
         Path file = folder.resolve("journal");
         byte[] bytes = Files.readAllBytes(file);
@@ -239,7 +239,7 @@
             List<PendingMessage> pending = List.copyOf(journal.pendingMessages());
             assertEquals(before.id, pending.get(0).id);
             assertEquals(1, pending.get(0).attempts.size(), "its attempt can't be read, but may have run");
-            assertTrue(pending.stream().anyMatch(m -> m.id.equals(behind.id)), "records behind the damage are not lost");
+            assertTrue(pending.stream().anyMatch(m -> m.id.equals(after.id)), "records after the damage are not lost");
             assertEquals(List.of(), pending.get(pending.size() - 1).attempts, "it was accepted after the damage");
         }
     }
@@ -508,7 +508,7 @@
         }
     }
 
-    /** Guards against refusing a message whose record is whole in the file: the write failed behind it, and so did truncation. */
+    /** Guards against refusing a message whose record is whole in the file: the write failed after it, and so did truncation. */
     @Test
     void reportsTheMessagesOfABatchThatCouldBeNeitherWrittenNorTruncated() throws Exception {
         int found = 0;
