--- a/src/main/java/slipfield/config/Config.java
+++ b/src/main/java/slipfield/config/Config.java
@@ -14,7 +14,7 @@
 import java.util.Optional;
 import slipfield.log.Log;
 import slipfield.retry.Retry;
-import slipfield.policy.Relay;
+import slipfield.policy.DeliveryPolicy;
 
 /**
  * A sender's configuration: environment variables and the JSON file that {@code GW_CONFIG} names. A variable overrides the
@@ -32,7 +32,7 @@
  * @param amqp the operator's AMQP file, if any
  */
 public record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, Path state, long seed,
-              int sockets, long diskBytes, Relay.Settings settings, List<String> classes,
+              int sockets, long diskBytes, DeliveryPolicy.Settings settings, List<String> classes,
               List<String> tenants, List<String> kinds, List<String> zones, int maxOpen, double connectTimeoutMs,
               Optional<JsonNode> knownEndpoints, Optional<Path> members, Optional<Path> clients,
               Optional<Path> amqp) {
--- a/src/main/java/slipfield/journal/Journal.java
+++ b/src/main/java/slipfield/journal/Journal.java
@@ -17,7 +17,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import slipfield.log.Log;
-import slipfield.policy.Relay;
+import slipfield.policy.DeliveryPolicy;
 import slipfield.trace.Trace;
 
 /**
@@ -227,19 +227,19 @@
     }
 
     /** Records a changed send rate; an unbounded one is removed from the state. */
-    public void recordSendRate(SendRateKey key, Relay.Pace now) throws IOException {
+    public void recordSendRate(SendRateKey key, DeliveryPolicy.SendRate now) throws IOException {
         byte[] record = RecordFormat.sendRate(key, now);
         state.sendRate(key, now, record.length);
         writeApplied(record);
     }
 
     /** The send rates that were known when the last process ended. */
-    public Map<SendRateKey, Relay.Pace> sendRates() {
+    public Map<SendRateKey, DeliveryPolicy.SendRate> sendRates() {
         return new LinkedHashMap<>(state.sendRates);
     }
 
     /** An endpoint's state, the wall time since when it is in that state, and the rate per ms that it carried before. */
-    public record Health(Relay.State state, long sinceMs, double carriedPerMs) {
+    public record Health(DeliveryPolicy.State state, long sinceMs, double carriedPerMs) {
     }
 
     /** Records an endpoint's changed health; an endpoint that is in service, or forgotten, is removed from the state. */
--- a/src/main/java/slipfield/journal/JournalState.java
+++ b/src/main/java/slipfield/journal/JournalState.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.TreeMap;
-import slipfield.policy.Relay;
+import slipfield.policy.DeliveryPolicy;
 
 /**
  * The state that a journal's records describe, and the size in bytes of a compacted file with the same state: pending messages,
@@ -21,7 +21,7 @@
     final Map<Long, PendingMessage> pending = new TreeMap<>();
     /** The last known health of endpoints that are not in service. */
     final Map<String, Journal.Health> health = new TreeMap<>();
-    final Map<Journal.SendRateKey, Relay.Pace> sendRates = new LinkedHashMap<>();
+    final Map<Journal.SendRateKey, DeliveryPolicy.SendRate> sendRates = new LinkedHashMap<>();
     /** Ids of completed messages, the newest last, and whether they were delivered. */
     final Map<String, Boolean> completed = new LinkedHashMap<>();
     private final long maxCompletedBytes;
@@ -94,7 +94,7 @@
     }
 
     /** Sets a send rate; an unbounded one is dropped. */
-    void sendRate(Journal.SendRateKey key, Relay.Pace now, int length) {
+    void sendRate(Journal.SendRateKey key, DeliveryPolicy.SendRate now, int length) {
         boolean before = sendRates.remove(key) != null;
         boolean stays = now.perMs() < Double.POSITIVE_INFINITY;
         if (stays) {
@@ -106,7 +106,7 @@
     /** Sets an endpoint's health; one that is in service, or forgotten, is dropped. */
     void health(String endpoint, Journal.Health now, int length) {
         boolean before = health.remove(endpoint) != null;
-        boolean stays = now.state() != Relay.State.UP;
+        boolean stays = now.state() != DeliveryPolicy.State.UP;
         if (stays) {
             health.put(endpoint, now);
         }
--- a/src/main/java/slipfield/journal/RecordFormat.java
+++ b/src/main/java/slipfield/journal/RecordFormat.java
@@ -8,7 +8,7 @@
 import java.nio.ByteBuffer;
 import java.util.List;
 import java.util.zip.CRC32;
-import slipfield.policy.Relay;
+import slipfield.policy.DeliveryPolicy;
 
 /**
  * The binary format of the journal's records: the body's length (4 bytes), its checksum (8 bytes), and the body, which begins
@@ -177,7 +177,7 @@
         });
     }
 
-    static byte[] sendRate(Journal.SendRateKey key, Relay.Pace rate) {
+    static byte[] sendRate(Journal.SendRateKey key, DeliveryPolicy.SendRate rate) {
         return record(out -> {
             out.writeByte(SEND_RATE);
             out.writeLong(key.destination());
--- a/src/main/java/slipfield/journal/Replay.java
+++ b/src/main/java/slipfield/journal/Replay.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import java.util.Optional;
 import slipfield.log.Log;
-import slipfield.policy.Relay;
+import slipfield.policy.DeliveryPolicy;
 
 /**
  * Rebuilds the journal's state from the bytes of its file. A record with one wrong bit is corrected by its checksum. After a
@@ -85,7 +85,7 @@
         switch (type) {
             case RecordFormat.HEALTH -> {
                 String endpoint = in.readUTF();
-                state.health(endpoint, new Journal.Health(Relay.State.values()[in.readByte()], converted(number),
+                state.health(endpoint, new Journal.Health(DeliveryPolicy.State.values()[in.readByte()], converted(number),
                         in.readDouble()), length);
                 return;
             }
@@ -93,7 +93,7 @@
                 Journal.SendRateKey key = new Journal.SendRateKey(number, in.readUTF());
                 double perMs = in.readDouble();
                 in.readDouble();
-                state.sendRate(key, new Relay.Pace(perMs, in.readDouble()), length);
+                state.sendRate(key, new DeliveryPolicy.SendRate(perMs, in.readDouble()), length);
                 return;
             }
             case RecordFormat.COMPLETED_ID -> {
--- a/src/test/java/slipfield/journal/JournalTest.java
+++ b/src/test/java/slipfield/journal/JournalTest.java
@@ -22,7 +22,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import slipfield.policy.Relay;
+import slipfield.policy.DeliveryPolicy;
 
 class JournalTest {
     private static final long DISK_BYTES = 200_000;
@@ -88,7 +88,7 @@
                         pending.get(1).pendingNotice);
                 pending.forEach(m -> assertEquals(List.of(AnswerRecipient.PLATFORM), m.recipients));
                 assertEquals(Map.of("three", true), journal.completedIds());
-                assertEquals(Relay.State.DOWN, journal.endpointHealth().get("s-1").state());
+                assertEquals(DeliveryPolicy.State.DOWN, journal.endpointHealth().get("s-1").state());
                 assertEquals(0.05, journal.sendRates().get(new Journal.SendRateKey(7, "")).perMs());
             }
         }
@@ -153,9 +153,9 @@
 
     @Test
     void healthSurvivesRestartsAndCompactionsUntilTheEndpointIsInService() throws Exception {
-        Journal.Health down = new Journal.Health(Relay.State.DOWN, 100, 0.5);
-        Journal.Health warming = new Journal.Health(Relay.State.WARMING, 200, 0.25);
-        Journal.Health up = new Journal.Health(Relay.State.UP, 300, 0.25);
+        Journal.Health down = new Journal.Health(DeliveryPolicy.State.DOWN, 100, 0.5);
+        Journal.Health warming = new Journal.Health(DeliveryPolicy.State.WARMING, 200, 0.25);
+        Journal.Health up = new Journal.Health(DeliveryPolicy.State.UP, 300, 0.25);
         try (Journal journal = open()) {
             journal.recordHealth("s-1", down);
             journal.recordHealth("s-2", down);
@@ -266,8 +266,8 @@
                     journal.recordWithdrawn(m);
                 }
             }
-            journal.recordHealth("s-1", new Journal.Health(Relay.State.DOWN, 100, 0.5));
-            journal.recordSendRate(new Journal.SendRateKey(7, ""), new Relay.Pace(0.5, 0));
+            journal.recordHealth("s-1", new Journal.Health(DeliveryPolicy.State.DOWN, 100, 0.5));
+            journal.recordSendRate(new Journal.SendRateKey(7, ""), new DeliveryPolicy.SendRate(0.5, 0));
         }
         return Files.readAllBytes(folder.resolve("journal"));
     }
@@ -358,7 +358,7 @@
                     new byte[1]);
             journal.recordAccepted(m);
             journal.recordAttempt(m, new PendingMessage.Attempt("s-1", 1_001_000));
-            journal.recordHealth("s-1", new Journal.Health(Relay.State.DOWN, 1_002_000, 0));
+            journal.recordHealth("s-1", new Journal.Health(DeliveryPolicy.State.DOWN, 1_002_000, 0));
         }
         long back = -300_000;
         try (Journal journal = open(1_004_000 + back, 9000, 9)) {
@@ -382,13 +382,13 @@
 
     @Test
     void completedIdsAndSendRatesSurviveRestartsAndCompactionsWithinTheirShare() throws Exception {
-        Relay.Pace pace = new Relay.Pace(0.25, 0.1);
+        DeliveryPolicy.SendRate pace = new DeliveryPolicy.SendRate(0.25, 0.1);
         Journal.SendRateKey shared = new Journal.SendRateKey(7, "");
         try (Journal journal = open()) {
-            journal.recordSendRate(shared, new Relay.Pace(1, 0));
+            journal.recordSendRate(shared, new DeliveryPolicy.SendRate(1, 0));
             journal.recordSendRate(shared, pace);
             journal.recordSendRate(new Journal.SendRateKey(7, "s-1"), pace);
-            journal.recordSendRate(new Journal.SendRateKey(7, "s-1"), new Relay.Pace(Double.POSITIVE_INFINITY, 0));
+            journal.recordSendRate(new Journal.SendRateKey(7, "s-1"), new DeliveryPolicy.SendRate(Double.POSITIVE_INFINITY, 0));
             for (int i = 0; i < 3000; i++) {
                 PendingMessage m = message(journal, 100);
                 journal.recordAccepted(m);
