--- a/src/main/java/slipfield/daemon/Rehearsal.java
+++ b/src/main/java/slipfield/daemon/Rehearsal.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import slipfield.config.Config;
-import slipfield.core.Desk;
+import slipfield.core.MessageIntake;
 import slipfield.front.http.Intake;
 import slipfield.journal.Claim;
 import slipfield.journal.Held;
@@ -88,7 +88,7 @@
     }
 
     /** A desk that takes nothing on, and a module's world in which every send arrives. */
-    private static final class Stage implements Desk, Relay.Actions {
+    private static final class Stage implements MessageIntake, Relay.Actions {
         private long sent;
 
         @Override
@@ -117,26 +117,26 @@
         }
 
         @Override
-        public Optional<Known> before(String id, Claim claim) {
+        public Optional<DuplicateState> checkDuplicate(String id, Claim claim) {
             return Optional.empty();
         }
 
         @Override
-        public void left(String outcome, String peer) {
+        public void recipientGone(String outcome, String peer) {
         }
 
         @Override
-        public Taking take(Submission submission) {
-            return Taking.refused("rehearsal", 0);
+        public SubmissionResult submit(Submission submission) {
+            return SubmissionResult.refused("rehearsal", 0);
         }
 
         @Override
-        public boolean written() {
+        public boolean writeAccepted() {
             return true;
         }
 
         @Override
-        public void answered(Held held, boolean heard) {
+        public void acceptanceReported(Held held, boolean heard) {
         }
 
         @Override
