--- a/src/main/java/slipfield/core/AnswerChannel.java
+++ b/src/main/java/slipfield/core/AnswerChannel.java
@@ -3,17 +3,17 @@
 import slipfield.journal.Owed;
 
 /**
- * Where final answers go: each is told until it was heard. Hearing one twice does no harm; one that is not heard
- * is a lost message. Which answers go where, and whether delivered messages are told of at all, is in the
- * message's {@link slipfield.journal.Claim}s.
+ * Sends final answers to their recipients, each again until it is acknowledged. A duplicate answer is harmless, but a message
+ * whose answer never arrives is lost. The {@link slipfield.journal.Claim}s of a message define which channel serves which
+ * recipient, and whether the recipient gets an answer for a delivered message too.
  */
 public interface AnswerChannel {
-    /** Owes this answer, from the next {@link #flush} on; the core is told once it was heard. */
+    /** Adds an answer, to be sent from the next {@link #flush} on. The core is notified when it is acknowledged. */
     void enqueue(Owed answer);
 
-    /** Sends what is owed, as far as it can be sent now: called at the end of each turn. */
+    /** Sends as many pending answers as possible now. Called at the end of each event-loop iteration. */
     void flush();
 
-    /** Answers that were not heard yet. */
+    /** The number of answers that are not acknowledged yet. */
     int pendingCount();
 }
--- a/src/main/java/slipfield/core/AnswerPolling.java
+++ b/src/main/java/slipfield/core/AnswerPolling.java
@@ -4,27 +4,29 @@
 import slipfield.journal.Claim;
 
 /**
- * Where clients ask for the ends of their messages: an outcome whose answers a front passes on. All on the core's thread.
+ * Lets clients poll for the final answers of their messages. A frontend passes the requests and the answers on. All methods are
+ * called on the core's event loop.
  */
 public interface AnswerPolling {
-    /** A question that waits for its answer. */
+    /** A request that waits for answers. */
     interface Poll {
-        /** Whoever asked is gone: it is not answered any more. */
+        /** Drops the request because its client has disconnected; it is not answered any more. */
         void cancel();
     }
 
-    /** The claim of a message whose client follows its end under this name. */
+    /** The recipient to register for a message whose client polls for its answer under this name. */
     Claim recipient(String peer);
 
     /**
-     * Asks for the ends that a peer has not heard yet.
+     * Requests the answers that a client has not acknowledged yet.
      *
-     * @param after what it heard last, as it was told; all up to there counts as heard. Empty or unknown: nothing does
-     * @param waitMs how long to wait for one, where there is none
-     * @param then told once, also with nothing: a line for each end
+     * @param after the cursor of the last answer that the client received; it acknowledges that answer and all before it. Empty
+     *     or unknown: nothing is acknowledged
+     * @param waitMs how long to wait for an answer if there is none, in milliseconds
+     * @param then called once with the answers, one per line; with an empty text if there are none
      */
     Poll poll(String peer, String after, long waitMs, Consumer<String> then);
 
-    /** Answers all who wait, at once, and whoever asks from now on: the sender ends. */
+    /** Answers all waiting polls, and from now on each new one, at once: the sender shuts down. */
     void release();
 }
--- a/src/main/java/slipfield/core/Directory.java
+++ b/src/main/java/slipfield/core/Directory.java
@@ -4,24 +4,34 @@
 import java.util.List;
 
 /**
- * Where endpoints come from. Several stand side by side: each gives its own whole lists and changes, and one that
- * dies leaves standing what it said last.
+ * A source of endpoints. A sender may use several directories at once: each reports its own endpoint list and its changes.
+ * When a directory fails, the endpoints that it reported last stay in use.
  */
 public interface Directory {
-    /** An entry of the list; {@code gone} ones are named so once; {@code weight} 0: none told. */
+    /**
+     * An endpoint as a directory reports it.
+     *
+     * @param weight 0 if the source gives none
+     * @param gone whether the endpoint has left the list; reported once
+     */
     record Entry(String id, SocketAddress address, String zone, String kind, long destination, boolean serving,
             double weight, boolean gone) {
     }
 
-    /** Is told what has changed. */
+    /** Receives changes of the endpoint list. */
     interface EndpointListener {
-        /** {@code whole}: what this directory doesn't name is no longer in its list. */
-        void endpointsChanged(boolean whole, List<Entry> entries);
+        /**
+         * The endpoint list has changed.
+         *
+         * @param complete whether {@code entries} is the whole list of this directory, so that endpoints missing from it have
+         *     left; false: {@code entries} holds only what has changed
+         */
+        void endpointsChanged(boolean complete, List<Entry> entries);
     }
 
-    /** Begins to watch, and tells these of each change, on the core's thread. */
-    void start(EndpointListener lists);
+    /** Starts watching the source. Changes are reported to the listener on the event loop of the core. */
+    void start(EndpointListener listener);
 
-    /** Whether what it told last came from its source, and not merely from what the configuration knew. */
+    /** Whether the last report came from the source itself; false while only the endpoints of the configuration are known. */
     boolean fresh();
 }
--- a/src/main/java/slipfield/core/Durability.java
+++ b/src/main/java/slipfield/core/Durability.java
@@ -11,134 +11,134 @@
 import slipfield.log.Log;
 
 /**
- * Whether the journal holds all that the sender has done, and what waits until it does. While it can't be written no attempt is
- * made, since the next life would not know of it, and no end is told that the next life could contradict by going on with the
- * message; an end is told all the same before its client's time is over. Writing is tried again until it works. All on the event
- * loop.
+ * Tracks whether the journal on disk is complete, and holds back final answers while it is not. While the journal can't be
+ * written, no attempt is made, since the process after a restart would not know of it. A final answer is held back if the
+ * process after a restart could contradict it by sending the message again. It is sent nevertheless shortly before its client
+ * stops waiting. The write is retried until it succeeds. All methods are called on the event loop.
  */
 final class Durability {
-    private static final long REPAIR_MS = 20;
-    /** A try that takes long is followed by a pause so many times as long, so that the event loop has time for the rest. */
+    private static final long RETRY_MS = 20;
+    /** Pause after a failed try, as a multiple of the time that the try took; it leaves the event loop time for other work. */
     private static final long PAUSE_PER_TRY = 4;
-    /** Tries within one turn: a failure of one write in two is then met in one turn of eight. */
-    private static final int TRIES = 3;
-    /** An end that can't be recorded is told so long before its client's time is over: the way of a notice. */
-    private static final long TOLD_BEFORE_MS = 300;
+    /** Tries in one event-loop iteration. If every other write fails, one iteration in eight fails. */
+    private static final int MAX_TRIES = 3;
+    /** An answer that can't be recorded is sent this long before its client stops waiting: the time that a notice needs. */
+    private static final long SEND_BEFORE_MS = 300;
 
-    /** What hangs on the journal. */
-    interface Effects {
-        /** Whether attempts can be recorded has changed. */
-        void recording(boolean possible);
+    /** What depends on the state of the journal. */
+    interface Listener {
+        /** Attempts can be recorded from now on, or can't any more. */
+        void recordingChanged(boolean possible);
 
-        /** This end may be told. */
-        void tell(Held ended);
+        /** The final answer of this message may be sent. */
+        void send(Held ended);
 
-        /** Milliseconds since 1970, by this life's reckoning. */
+        /** Milliseconds since 1970, by the clock of this process. */
         long wallMs();
     }
 
     private final EventLoop loop;
     private final Journal journal;
-    private final Predicate<Held> mayGoOn;
-    private final Effects effects;
-    /** Ended, and not told yet. */
+    private final Predicate<Held> mayResend;
+    private final Listener listener;
+    /** Ended messages whose answer is not sent yet. */
     private final Deque<Held> ended = new ArrayDeque<>();
-    private boolean whole = true;
-    private long brokenNanos;
-    private long triedNanos;
-    /** Until the next try to write all that is held. */
-    private long pauseMs = REPAIR_MS;
-
-    /** {@code mayGoOn}: whether a next life that knows of no end would send the message again. */
-    Durability(EventLoop loop, Journal journal, Predicate<Held> mayGoOn, Effects effects) {
+    private boolean complete = true;
+    private long incompleteSinceNanos;
+    private long lastTryNanos;
+    /** Pause until the next try to write everything. */
+    private long pauseMs = RETRY_MS;
+
+    /** {@code mayResend}: whether the process after a restart would send the message again if its end is not recorded. */
+    Durability(EventLoop loop, Journal journal, Predicate<Held> mayResend, Listener listener) {
         this.loop = loop;
         this.journal = journal;
-        this.mayGoOn = mayGoOn;
-        this.effects = effects;
+        this.mayResend = mayResend;
+        this.listener = listener;
         journal.repairedByOwner();
     }
 
-    /** Writes what was collected; false: something of it, or from before, is not in the file. */
+    /** Writes the collected records. Returns false if any of them, or of those before, is not in the file. */
     boolean flush() {
-        if (!whole && System.nanoTime() - triedNanos < TimeUnit.MILLISECONDS.toNanos(pauseMs)) {
-            // Each try writes all that is held: not one in every turn.
+        if (!complete && System.nanoTime() - lastTryNanos < TimeUnit.MILLISECONDS.toNanos(pauseMs)) {
+            // Each try writes everything that is held, so it is not made in every iteration.
             journal.discard();
             return false;
         }
-        long begunNanos = System.nanoTime();
-        int tries = whole ? TRIES : 1;
+        long startedNanos = System.nanoTime();
+        int tries = complete ? MAX_TRIES : 1;
         IOException cause = null;
         for (int i = 0; i < tries; i++) {
             try {
                 journal.flush();
                 journal.repair();
-                mended();
+                succeeded();
                 return true;
             } catch (IOException e) {
                 cause = e;
             }
         }
-        failedSince(begunNanos);
+        failed(startedNanos);
         Log.error("journal.turn_unwritten", "cause", cause);
         check();
         return false;
     }
 
-    /** A record could not be written: it is looked after from now on. */
+    /** Starts the retries if a record could not be written. */
     void check() {
-        if (whole && journal.isStale()) {
-            whole = false;
-            brokenNanos = System.nanoTime();
-            effects.recording(false);
+        if (complete && journal.isStale()) {
+            complete = false;
+            incompleteSinceNanos = System.nanoTime();
+            listener.recordingChanged(false);
             loop.schedule(this::repair, pauseMs, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void failedSince(long begunNanos) {
-        triedNanos = System.nanoTime();
-        pauseMs = Math.max(REPAIR_MS, PAUSE_PER_TRY * TimeUnit.NANOSECONDS.toMillis(triedNanos - begunNanos));
+    private void failed(long startedNanos) {
+        lastTryNanos = System.nanoTime();
+        pauseMs = Math.max(RETRY_MS, PAUSE_PER_TRY * TimeUnit.NANOSECONDS.toMillis(lastTryNanos - startedNanos));
     }
 
     private void repair() {
-        if (whole) {
+        if (complete) {
             return;
         }
-        long begunNanos = System.nanoTime();
+        long startedNanos = System.nanoTime();
         try {
             journal.repair();
-            mended();
+            succeeded();
         } catch (IOException | RuntimeException e) {
-            failedSince(begunNanos);
-            Log.error("journal.still_unwritten", "for_ms", brokenMs(), "ends_held", ended.size(), "cause", e);
+            failed(startedNanos);
+            Log.error("journal.still_unwritten", "for_ms", incompleteMs(), "ends_held", ended.size(), "cause", e);
             loop.schedule(this::repair, pauseMs, TimeUnit.MILLISECONDS);
         }
         release();
     }
 
-    private long brokenMs() {
-        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - brokenNanos);
+    private long incompleteMs() {
+        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - incompleteSinceNanos);
     }
 
-    private void mended() {
-        if (!whole) {
-            whole = true;
-            pauseMs = REPAIR_MS;
-            Log.info("journal.written_again", "after_ms", brokenMs(), "ends_held", ended.size());
-            effects.recording(true);
+    private void succeeded() {
+        if (!complete) {
+            complete = true;
+            pauseMs = RETRY_MS;
+            Log.info("journal.written_again", "after_ms", incompleteMs(), "ends_held", ended.size());
+            listener.recordingChanged(true);
         }
     }
 
-    /** The message has ended: that is told by {@link #release}, as soon as it may be. */
-    void end(Held held) {
+    /** Adds the message to those whose answer {@link #release} sends as soon as allowed. */
+    void enqueue(Held held) {
         ended.add(held);
     }
 
-    /** Tells the ends that may be told now. */
+    /** Sends the answers that may be sent now. */
     void release() {
         for (int left = ended.size(); left > 0; left--) {
             Held held = ended.remove();
-            if (!journal.isStale() || !mayGoOn.test(held) || isDue(held)) {
-                effects.tell(held);
+            if (!journal.isStale() || !mayResend.test(held) || isDue(held)) {
+                listener.send(held);
             } else {
                 ended.add(held);
             }
@@ -146,15 +146,15 @@
     }
 
     private boolean isDue(Held held) {
-        boolean due = effects.wallMs() >= held.deadlineMs + held.reserveMs - TOLD_BEFORE_MS;
+        boolean due = listener.wallMs() >= held.deadlineMs + held.reserveMs - SEND_BEFORE_MS;
         if (due) {
             Log.error("message.end_told_unwritten", "message", held.id);
         }
         return due;
     }
 
-    /** Ends that are not told yet. */
-    int waiting() {
+    /** The number of ended messages whose answer is not sent yet. */
+    int pendingCount() {
         return ended.size();
     }
 }
--- a/src/main/java/slipfield/core/EndedIds.java
+++ b/src/main/java/slipfield/core/EndedIds.java
@@ -5,28 +5,28 @@
 import java.util.Optional;
 
 /**
- * Ids of messages that were over last, and whether they were delivered: lest one be taken on twice. One that comes again
- * after so many others is not known any more, and is taken as a new one.
+ * The ids of the messages that ended last, and whether each was delivered, so that a duplicate is not accepted again. An id
+ * drops out after a fixed number of others; a message with it is accepted as a new one then.
  */
 final class EndedIds {
-    private final Map<String, Boolean> ids = new LinkedHashMap<>();
-    private final int most;
+    private final Map<String, Boolean> deliveredById = new LinkedHashMap<>();
+    private final int capacity;
 
-    /** {@code most}: so many are known, 1 or more; one takes some 150 octets of heap. */
-    EndedIds(int most) {
-        this.most = most;
+    /** {@code capacity}: how many ids are remembered, 1 or more; each takes about 150 bytes of heap. */
+    EndedIds(int capacity) {
+        this.capacity = capacity;
     }
 
-    /** One is over. One that ended before keeps its place, and takes the newer end. */
+    /** Adds the id of an ended message. An id that is known keeps its position and gets the new result. */
     void add(String id, boolean delivered) {
-        ids.put(id, delivered);
-        if (ids.size() > most) {
-            ids.remove(ids.keySet().iterator().next());
+        deliveredById.put(id, delivered);
+        if (deliveredById.size() > capacity) {
+            deliveredById.remove(deliveredById.keySet().iterator().next());
         }
     }
 
-    /** How it ended, if it is known. */
+    /** Whether the message was delivered; empty if the id is not known. */
     Optional<Boolean> delivered(String id) {
-        return Optional.ofNullable(ids.get(id));
+        return Optional.ofNullable(deliveredById.get(id));
     }
 }
--- a/src/main/java/slipfield/core/EndpointCatalogue.java
+++ b/src/main/java/slipfield/core/EndpointCatalogue.java
@@ -7,50 +7,51 @@
 import java.util.Map;
 
 /**
- * The lists of several directories as one. A whole list of one replaces what that one said, and nothing of what
- * the others did; so one that dies leaves its last list standing. Ids of the first directory stand as they are,
- * those of another are behind its name and a slash: equal ids of two are two endpoints. Pure.
+ * Merges the endpoint lists of several directories into one. A complete list of a directory replaces that directory's earlier
+ * endpoints and no others, so that a directory that fails keeps its last endpoints. Ids of the first directory are used
+ * unchanged. Those of another get its name and a slash as a prefix, since equal ids of two directories are two endpoints. Pure
+ * logic without I/O.
  */
 final class EndpointCatalogue {
-    /** What the module is told. */
-    record Change(boolean whole, List<Directory.Entry> entries) {
+    /** A change to report to the policy; {@code complete}: the entries are the whole merged list. */
+    record Change(boolean complete, List<Directory.Entry> entries) {
     }
 
-    private final Map<String, Map<String, Directory.Entry>> lists = new LinkedHashMap<>();
+    private final Map<String, Map<String, Directory.Entry>> entriesByDirectory = new LinkedHashMap<>();
     private final String first;
 
-    /** Of these directories, by name; the first one's ids stand as they are. */
+    /** Merges the lists of these directories; ids of the first one are used unchanged. */
     EndpointCatalogue(List<String> names) {
         first = names.get(0);
-        names.forEach(name -> lists.put(name, new HashMap<>()));
+        names.forEach(name -> entriesByDirectory.put(name, new HashMap<>()));
     }
 
-    /** What this directory's word changes in the list of all. */
-    Change listed(String directory, boolean whole, List<Directory.Entry> entries) {
-        if (lists.size() == 1) {
-            return new Change(whole, entries);
+    /** Applies the report of a directory and returns how it changes the merged list. */
+    Change update(String directory, boolean complete, List<Directory.Entry> entries) {
+        if (entriesByDirectory.size() == 1) {
+            return new Change(complete, entries);
         }
-        Map<String, Directory.Entry> mine = lists.get(directory);
-        if (whole) {
-            mine.clear();
+        Map<String, Directory.Entry> known = entriesByDirectory.get(directory);
+        if (complete) {
+            known.clear();
         }
-        List<Directory.Entry> named = new ArrayList<>();
-        for (Directory.Entry told : entries) {
-            Directory.Entry entry = directory.equals(first) ? told : new Directory.Entry(directory + "/" + told.id(),
-                    told.address(), told.zone(), told.kind(), told.destination(), told.serving(), told.weight(),
-                    told.gone());
-            named.add(entry);
+        List<Directory.Entry> changed = new ArrayList<>();
+        for (Directory.Entry reported : entries) {
+            Directory.Entry entry = directory.equals(first) ? reported : new Directory.Entry(directory + "/" + reported.id(),
+                    reported.address(), reported.zone(), reported.kind(), reported.destination(), reported.serving(),
+                    reported.weight(), reported.gone());
+            changed.add(entry);
             if (entry.gone()) {
-                mine.remove(entry.id());
+                known.remove(entry.id());
             } else {
-                mine.put(entry.id(), entry);
+                known.put(entry.id(), entry);
             }
         }
-        if (!whole) {
-            return new Change(false, named);
+        if (!complete) {
+            return new Change(false, changed);
         }
         List<Directory.Entry> all = new ArrayList<>();
-        lists.values().forEach(list -> all.addAll(list.values()));
+        entriesByDirectory.values().forEach(list -> all.addAll(list.values()));
         return new Change(true, all);
     }
 }
--- a/src/main/java/slipfield/core/Frontend.java
+++ b/src/main/java/slipfield/core/Frontend.java
@@ -4,33 +4,36 @@
 import java.net.InetSocketAddress;
 
 /**
- * A way in for messages. It hands each in at the {@link MessageIntake}, and tells its client what the desk answers. Final
- * answers reach a client by the {@link AnswerChannel} that the message's claim names: a front whose protocol has them is
- * one itself.
+ * Accepts messages from clients over one protocol. It submits each message to the {@link MessageIntake} and returns the result
+ * to the client. Final answers reach a client through the {@link AnswerChannel} that the message's recipient names; a frontend
+ * whose protocol carries final answers implements that interface too.
  */
 public interface Frontend {
-    /** Begins to listen, and waits until it does: so it is not called on the core's thread. */
+    /** Opens the listening socket and blocks until it is bound, so it must not be called on the core's event loop. */
     InetSocketAddress listen() throws IOException;
 
-    /** Takes no new connection, and ends each that stands with the answer to its next request. */
+    /** Stops accepting connections. An open connection is closed with the answer to its next request. */
     void close();
 
     /**
-     * The process ends in a moment: connections on which nothing is asked are closed, and what was read gets its answer.
-     * {@link #clients} tells what is left. After {@link #close}.
+     * Prepares for the end of the process, after {@link #close}: closes connections without a request in progress and answers
+     * the requests that were read. {@link #openConnections} counts those that remain.
      */
     default void finish() {
     }
 
-    /** Connections that clients have open. */
+    /** The number of open client connections. */
     int openConnections();
 
-    /** Whether connections that clients have made may still be taken up; {@link #close} ends that, not always at once. */
+    /**
+     * Whether connections that clients have established may still be accepted. It becomes false after {@link #close}, possibly
+     * with a delay.
+     */
     default boolean accepting() {
         return false;
     }
 
-    /** Lets go of what is not on the core's event loop, as the end of the process would; from any other thread. */
+    /** Releases resources outside the core's event loop as the end of the process would; called from any other thread. */
     default void kill() {
     }
 }
--- a/src/main/java/slipfield/core/LatenessLog.java
+++ b/src/main/java/slipfield/core/LatenessLog.java
@@ -3,27 +3,28 @@
 import slipfield.journal.Held;
 import slipfield.log.Log;
 
-/** Tells the people on call how late this sender is, where that is more than any rule leaves: it gets too little of its core. */
+/** Logs for operators how late this sender is, if that exceeds what any deadline allows for: it gets too little CPU time. */
 final class LatenessLog {
-    /** Due things that are done so much later, in ms, are told: all deadlines are meant for less. */
-    private static final double LOOP_MS = 1000;
+    /** A timer that fires this late, in ms, is logged: no deadline allows for so much. */
+    private static final double LATE_TIMER_MS = 1000;
 
     private LatenessLog() {
     }
 
-    /** Something that was due was done so many milliseconds later. */
-    static void due(double lateMs) {
-        if (lateMs >= LOOP_MS) {
+    /** A timer has fired {@code lateMs} milliseconds after its time. */
+    static void timerFired(double lateMs) {
+        if (lateMs >= LATE_TIMER_MS) {
             Log.warn("loop.late", "late_ms", Math.round(lateMs));
         }
     }
 
     /**
-     * A message is ended, so many milliseconds after it should have been.
+     * A message has ended undelivered.
      *
-     * @param reserveMs how much of that was kept back for ends that come late
+     * @param lateMs how long after its time it has ended, in milliseconds
+     * @param reserveMs how much of that was reserved for late answers
      */
-    static void ended(Held held, long lateMs, long reserveMs, boolean inService) {
+    static void messageEnded(Held held, long lateMs, long reserveMs, boolean inService) {
         if (lateMs > reserveMs) {
             Log.warn("message.ended_late", "message", held.id, "late_ms", lateMs - reserveMs, "attempts",
                     held.attempts.size(), "in", inService ? "service" : "recovery");
--- a/src/main/java/slipfield/core/MessageIntake.java
+++ b/src/main/java/slipfield/core/MessageIntake.java
@@ -5,80 +5,95 @@
 import slipfield.journal.Claim;
 import slipfield.journal.Held;
 
-/** Where fronts hand messages in. Called on the core's thread. */
+/** Accepts messages from frontends. All methods are called on the core's event loop. */
 public interface MessageIntake {
-    /** What a client asks to be delivered, and who has to hear of its end: one claimant at least. */
+    /**
+     * A message that a client submits.
+     *
+     * @param budgetMs how long the client waits for the final answer, in milliseconds
+     * @param recipients the recipients of the final answer, one at least
+     */
     record Submission(String id, String messageClass, String tenant, Optional<String> key, long destination,
                       long budgetMs, byte[] body, List<Claim> recipients) {
     }
 
     /**
-     * What became of a submission: it is held, or refused, with the time to come back after in ms, or 0; {@code
-     * destination}: that time holds for its destination alone.
+     * Whether a submission was accepted.
+     *
+     * @param message the pending message; empty if the submission was refused
+     * @param reason why it was refused
+     * @param waitMs after how many milliseconds the client should try again, or 0
+     * @param destination whether {@code waitMs} applies to the submission's destination only
      */
     record SubmissionResult(Optional<Held> message, String reason, long waitMs, boolean destination) {
-        /** It is held. */
+        /** The submission is accepted as this message. */
         public static SubmissionResult accepted(Held held) {
             return new SubmissionResult(Optional.of(held), "", 0, false);
         }
 
-        /** It is refused. */
+        /** The submission is refused. */
         public static SubmissionResult refused(String reason, long waitMs) {
             return new SubmissionResult(Optional.empty(), reason, waitMs, false);
         }
     }
 
-    /** What is known of an id that was handed in before. */
+    /** What is known of a message whose id is submitted again. */
     enum DuplicateState {
-        /** It is held: it is not taken twice. */
+        /** The message is pending; it is not accepted twice. */
         PENDING,
-        /** It was delivered a moment ago. */
+        /** The message was delivered recently. */
         DELIVERED,
-        /** It was refused or failed a moment ago. */
+        /** The message was refused or failed recently. */
         UNDELIVERED
     }
 
-    /** Whether messages can be taken now. */
+    /** Whether messages can be accepted now. */
     boolean ready();
 
-    /** Whether the module knows this class. */
+    /** Whether the settings define this message class. */
     boolean knowsClass(String name);
 
-    /** Whether this tenant may hand in messages. */
+    /** Whether this tenant may submit messages. */
     boolean knowsTenant(String name);
 
-    /** Whether messages of this class need a key that drops their repeats. */
+    /** Whether messages of this class need a key by which the destination drops repeated deliveries. */
     boolean needsKey(String messageClass);
 
-    /** Whether a list has ever named this destination, be its endpoints away or not. */
+    /** Whether an endpoint list has ever named this destination, even if its endpoints have left. */
     boolean knowsDestination(long destination);
 
     /**
-     * How a message with this id was answered before, if one is held, or was until a moment ago. One that is
-     * held is told to this claimant too from now on, unless it is one of its claimants already.
+     * The state of the message with this id, if it is pending or ended recently. A pending message gets the recipient as a
+     * further one, unless it has it already.
      */
     Optional<DuplicateState> checkDuplicate(String id, Claim claim);
 
-    /** A peer of this outcome has left for good: answers that were not to be kept for it are dropped. */
+    /** A peer of this answer channel has left for good: its answers that need not be kept are dropped. */
     void recipientGone(String outcome, String peer);
 
     /**
-     * Takes a message on, or refuses it. It is in the journal when {@link #written} has said so: only then may its
-     * client be told, and it must be called before the loop's next turn.
+     * Accepts a message or refuses it. An accepted message is in the journal only once {@link #writeAccepted} has returned true.
+     * Only then may its client be told, and the call must be made before the next event-loop iteration.
      */
     SubmissionResult submit(Submission submission);
 
-    /** Writes what was taken, in one piece; false: it could not, and each must be refused that is not {@link #recorded}. */
+    /**
+     * Writes the messages that were accepted to the journal in one write. If it returns false, each of them must be refused
+     * unless it {@link #isRecorded}.
+     */
     boolean writeAccepted();
 
     /**
-     * Whether a message is in the journal though {@link #written} said no: the write failed behind its record, and the file
-     * could not be cut. The next life would go on with it, so it counts as taken on.
+     * Whether a message is in the journal although {@link #writeAccepted} returned false: the write failed after its record, and
+     * the file could not be truncated. The process after a restart would send it, so it counts as accepted.
      */
     default boolean isRecorded(Held held) {
         return false;
     }
 
-    /** The client has heard that it was taken, or never will; what was not {@link #written} it never will. */
-    void acceptanceReported(Held held, boolean heard);
+    /**
+     * Reports whether the client has received the acceptance of its message. False if it never will, as for each message that
+     * {@link #writeAccepted} did not write.
+     */
+    void acceptanceReported(Held held, boolean received);
 }
--- a/src/main/java/slipfield/core/OutageLog.java
+++ b/src/main/java/slipfield/core/OutageLog.java
@@ -5,21 +5,31 @@
 import slipfield.policy.Relay;
 
 /**
- * What the people on call need to follow an outage: how this sender sees each endpoint, by the ids of the list, which last over
- * restarts; and why attempts and messages did not come through.
+ * Logs what operators need to follow an outage: the health of each endpoint as this sender sees it, by the ids of the endpoint
+ * list, which are the same after a restart; and why attempts and messages failed.
  */
 final class OutageLog {
     private OutageLog() {
     }
 
-    /** An endpoint's state has changed; {@code endpoint} is its id in the list, {@code now} the module's time in ms. */
+    /**
+     * The health of an endpoint has changed.
+     *
+     * @param endpoint its id in the endpoint list
+     * @param now the policy's time in ms
+     */
     static void endpointChanged(Relay.EndpointChange change, String endpoint, double now) {
         Log.info("endpoint.health", "endpoint", endpoint, "number", change.endpoint(), "destination", change.destination(),
                 "from", change.from(), "to", change.to(), "reason", change.reason(), "failed", change.fruitless().failed(),
                 "refused", change.fruitless().refused(), "over_ms", overMs(change.fruitless(), now));
     }
 
-    /** Calls to a destination go one at a time from now on, or no more do; ids are empty where none made the difference. */
+    /**
+     * A destination became suspected, so that calls go there one at a time, or is not suspected any more.
+     *
+     * @param endpoint the endpoint that caused the change, or empty
+     * @param message the message that caused the change, or empty
+     */
     static void suspicionChanged(Relay.Suspicion suspicion, String endpoint, String message, double now) {
         Log.info(suspicion.begins() ? "destination.suspected" : "destination.cleared", "destination", suspicion.destination(),
                 "endpoint", endpoint, "message", message, "failed", suspicion.fruitless().failed(), "refused",
@@ -30,7 +40,7 @@
         return fruitless.failed() + fruitless.refused() == 0 ? 0 : Math.round(now - fruitless.since());
     }
 
-    /** An attempt has ended after so many ms: why its message is tried again, unless it was delivered or called off. */
+    /** An attempt has ended after {@code tookMs} milliseconds; logged unless it delivered the message or was cancelled. */
     static void attemptEnded(Held held, int attempt, Relay.Outcome outcome, double tookMs) {
         if (outcome != Relay.Outcome.DELIVERED && outcome != Relay.Outcome.CANCELLED) {
             Log.warn("attempt.failed", "message", held.id, "attempt", attempt, "destination", held.destination, "endpoint",
@@ -38,8 +48,8 @@
         }
     }
 
-    /** A message is given back or given up; it was tried so many times. */
-    static void ended(Held held, Held.Notice notice) {
+    /** A message was refused or failed. */
+    static void undelivered(Held held, Held.Notice notice) {
         Log.warn("message.undelivered", "message", held.id, "destination", held.destination, "end", notice.end(), "attempts",
                 held.attempts.size());
     }
--- a/src/main/java/slipfield/core/Recovery.java
+++ b/src/main/java/slipfield/core/Recovery.java
@@ -14,28 +14,29 @@
 import slipfield.recovery.Plan;
 
 /**
- * Takes up what an earlier life held, by its {@link Plan}: a slice in a turn, and the loop free between two.
- * Ends need no list and go out before anything else. What may still be delivered waits for the list that
- * discovery has, but not for long; if its time is up meanwhile it is ended.
+ * Restores the messages that an earlier process left in the journal, in the order of a {@link Plan}: one batch per event-loop
+ * iteration, so that the loop can do other work in between. Final answers need no endpoint list and are sent first. Messages
+ * that may still be delivered wait a limited time for an endpoint list from discovery; one whose time runs out meanwhile is
+ * ended.
  */
 final class Recovery {
-    /** How long the list that the configuration knew must do without discovery's word before it is used. */
-    private static final long FRESH_MS = 250;
-    /** While there is no list at all, what is due is looked for so often. */
-    private static final long LOOK_MS = 100;
+    /** How long to wait for discovery before the endpoint list of the configuration is used. */
+    private static final long FRESH_LIST_MS = 250;
+    /** How often expired messages are searched for while there is no endpoint list at all. */
+    private static final long EXPIRY_CHECK_MS = 100;
 
-    /** What the sender does with each message, and when a stage is over. */
+    /** Handles each restored message, and the end of each stage. */
     interface Steps {
-        /** Its end was decided in an earlier life: the platform has to hear it. */
-        void tell(Held held);
+        /** The message ended in an earlier process: its answer has to be sent. */
+        void sendAnswer(Held held);
 
-        /** Back to the module; {@code leftMs} is 0 or less where its time is up. */
+        /** Returns a message to the policy; {@code leftMs} is 0 or less if its time is up. */
         void resume(Held held, long leftMs);
 
-        /** Every end that was due at the start is out. */
-        void endsOut();
+        /** All answers that were due at the start have been sent. */
+        void answersSent();
 
-        /** Everything is back; so many messages may still be delivered. */
+        /** All messages are restored; {@code resumed} of them may still be delivered. */
         void done(int resumed);
     }
 
@@ -43,51 +44,52 @@
     private final LongSupplier wallMs;
     private final Predicate<Held> inOrder;
     private final Steps steps;
+    /** Messages that are not restored yet, by number. */
     private final Map<Long, Held> left = new HashMap<>();
-    private final List<Held> taken;
+    private final List<Held> all;
     private Plan plan;
-    /** A list is known that may be acted on; any will do where nothing waits to be sent. */
-    private boolean listed;
-    private boolean toldEnds;
-    private boolean waiting;
+    /** Whether there is an endpoint list that may be used; if no message is left to send, any list will do. */
+    private boolean listUsable;
+    private boolean answersSent;
+    private boolean waitingForList;
     private int resumed;
-    private int turns;
+    private int batches;
 
     Recovery(EventLoop loop, LongSupplier wallMs, List<Held> held, Predicate<Held> inOrder, Steps steps) {
         this.loop = loop;
         this.wallMs = wallMs;
         this.inOrder = inOrder;
         this.steps = steps;
-        this.taken = held;
+        this.all = held;
         for (Held h : held) {
             left.put(h.number, h);
         }
     }
 
-    /** Begins, with the first slice in this turn. */
+    /** Starts the recovery, with the first batch in this iteration. */
     void start() {
         plan();
         step();
     }
 
-    /** A list is known; {@code fresh}: from discovery itself. */
-    void listKnown(boolean fresh) {
+    /** An endpoint list is available; {@code fresh}: it comes from discovery itself. */
+    void listAvailable(boolean fresh) {
         if (fresh || left.isEmpty()) {
-            listed();
+            useList();
         } else {
-            loop.schedule(LoggedTask.of("recovery.listed", this::listed), FRESH_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(LoggedTask.of("recovery.listed", this::useList), FRESH_LIST_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Turns that slices have taken so far. */
-    int turns() {
-        return turns;
+    /** The number of batches so far. */
+    int batches() {
+        return batches;
     }
 
-    private void listed() {
-        if (!listed) {
-            listed = true;
-            if (waiting) {
+    private void useList() {
+        if (!listUsable) {
+            listUsable = true;
+            if (waitingForList) {
                 step();
             }
         }
@@ -96,7 +98,7 @@
     private void plan() {
         long now = wallMs.getAsLong();
         List<Plan.Item> items = new ArrayList<>();
-        for (Held held : taken) {
+        for (Held held : all) {
             if (left.containsKey(held.number)) {
                 items.add(new Plan.Item(held.number, leftMs(held, now), held.over, inOrder.test(held)));
             }
@@ -109,54 +111,54 @@
     }
 
     private void step() {
-        waiting = false;
+        waitingForList = false;
         if (plan.endsLeft()) {
-            takeUp(plan.next());
-        } else if (!toldEnds) {
-            toldEnds = true;
-            steps.endsOut();
-            again(0);
-        } else if (!listed) {
-            waiting = true;
-            loop.schedule(LoggedTask.of("recovery.look", this::look), LOOK_MS, TimeUnit.MILLISECONDS);
+            restore(plan.next());
+        } else if (!answersSent) {
+            answersSent = true;
+            steps.answersSent();
+            scheduleStep(0);
+        } else if (!listUsable) {
+            waitingForList = true;
+            loop.schedule(LoggedTask.of("recovery.look", this::checkExpiry), EXPIRY_CHECK_MS, TimeUnit.MILLISECONDS);
         } else if (plan.left() > 0) {
-            takeUp(plan.next());
+            restore(plan.next());
         } else {
             steps.done(resumed);
         }
     }
 
-    private void again(long delayMs) {
-        // By the clock, not at once: the sockets are looked at in between.
+    private void scheduleStep(long delayMs) {
+        // Scheduled instead of executed, so that the loop polls its sockets in between.
         loop.schedule(LoggedTask.of("recovery.step", this::step), delayMs, TimeUnit.MILLISECONDS);
     }
 
-    /** Still no list: what has run out of time meanwhile is ended without one. */
-    private void look() {
-        if (waiting) {
+    /** Plans again while there is no endpoint list, to end the messages whose time has run out. */
+    private void checkExpiry() {
+        if (waitingForList) {
             plan();
             step();
         }
     }
 
-    private void takeUp(Plan.Slice slice) {
-        turns++;
+    private void restore(Plan.Slice slice) {
+        batches++;
         long now = wallMs.getAsLong();
         for (long number : slice.numbers()) {
             Held held = left.remove(number);
             try {
-                takeUp(held, slice.step(), now);
+                restore(held, slice.step(), now);
             } catch (RuntimeException e) {
-                // The others have to be ended all the same; the journal still holds this one.
+                // The other messages must be restored all the same; the journal still holds this one.
                 Log.error("recovery.message_fault", "message", held.id, "cause", e);
             }
         }
-        again(0);
+        scheduleStep(0);
     }
 
-    private void takeUp(Held held, Plan.Step step, long now) {
+    private void restore(Held held, Plan.Step step, long now) {
         if (step == Plan.Step.TELL) {
-            steps.tell(held);
+            steps.sendAnswer(held);
         } else {
             resumed += step == Plan.Step.RESUME ? 1 : 0;
             steps.resume(held, leftMs(held, now));
--- a/src/main/java/slipfield/core/Sender.java
+++ b/src/main/java/slipfield/core/Sender.java
@@ -32,66 +32,68 @@
 import slipfield.trace.Trace;
 
 /**
- * One real sender: the event loop, the clock, and the names that the module knows by numbers. The loop's
- * thread alone touches the module and all that hangs on it, so nothing here is locked. It decides nothing.
+ * Runs the delivery policy on an event loop: supplies the time, maps ids to the numbers that the policy uses, carries out its
+ * decisions, and reports events to it. It makes no delivery decision itself. Only the event loop's thread uses the policy and
+ * the components, so there are no locks.
  */
 public final class Sender implements Relay.Actions {
     /**
-     * A request may stand unread where the CPU is scarce, for the 400 ms that its client waits, and its budget
-     * runs from when it was sent; a notice takes a turn or two of a loop that is as late. So a message is ended
-     * so much before its time is up: 421 ms late is what was seen after a start.
+     * A message is ended this long before its client's deadline. The client's budget runs from when it sent the request, but on
+     * a busy CPU the request may wait unread for the 400 ms that its client waits, and the notice takes an iteration or two of
+     * an event loop that is equally late. After a start, a delay of 421 ms was observed.
      */
-    private static final long UNREAD_MS = 700;
-    /** The same for what is taken while the loop is late: its end may be as late again as its request was. */
-    private static final long UNREAD_LATE_MS = 1000;
+    private static final long ANSWER_RESERVE_MS = 700;
+    /** The same for a message accepted while the event loop is late: its answer may be delayed as much as its request was. */
+    private static final long LATE_LOOP_RESERVE_MS = 1000;
     private static final long DRAIN_POLL_MS = 20;
-    /** How long after its time a sender that ends may still answer what it has read. */
+    /** How long after the end of the drain time a sender may still answer requests that it has read. */
     private static final long LAST_ANSWERS_MS = 200;
     private static final long KILL_QUIET_MS = 100;
-    /** An endpoint that has left the list is forgotten after so long: no call lasts till then. */
-    private static final long GONE_MS = 60_000;
-    /** A message that is ended so much after it was due is traced: half of what the rules leave. */
-    private static final double LATE_END_MS = 150;
+    /** An endpoint that has left the endpoint list is forgotten after this time; no call takes so long. */
+    private static final long FORGET_ENDPOINT_MS = 60_000;
+    /** A message that ends this long after its deadline is traced: half of the delay that the rules allow. */
+    private static final double LATE_ANSWER_MS = 150;
     /**
-     * What was decided so long before it can be written is looked at again, once the sockets have been: an answer that tells a
-     * wait may lie unread in one. Well within the 100 ms after a wait in which calls are let through (PROTOCOL).
+     * A call that was decided this long before it can be written is checked again after the sockets have been polled, since an
+     * unread answer may request a delay. It is well below the 100 ms after the start of a requested delay in which calls are
+     * still let through (PROTOCOL).
      */
     private static final double STALE_DECISION_MS = 30;
-    /** How long a rehearsal may keep the sender from listening: less where messages are held. */
-    private static final long REHEARSE_MS = 4000;
-    private static final long REHEARSE_HELD_MS = 300;
-    /** The property that switches the account of the loop's time on: {@code -Dsender.trace=true}. */
+    /** How long the warm-up may delay listening; shorter if messages are pending. */
+    private static final long WARM_UP_MS = 4000;
+    private static final long WARM_UP_PENDING_MS = 300;
+    /** Whether the event loop's time is traced: {@code -Dsender.trace=true}. */
     public static final boolean TRACE_ENABLED = Boolean.getBoolean("sender.trace");
-    /** The property that switches the steps of each message on: {@code -Dsender.flow=true}. */
+    /** Whether the steps of each message are printed: {@code -Dsender.flow=true}. */
     public static final boolean FLOW_ENABLED = Boolean.getBoolean("sender.flow");
 
     private final Config config;
-    private final SenderComponents parts;
-    private final long takingMs;
-    private final long closingMs;
+    private final SenderComponents components;
+    private final long acceptMs;
+    private final long drainMs;
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final CountDownLatch stopped = new CountDownLatch(1);
     private final long startNanos = System.nanoTime();
     private final LifeClock life;
-    private final CountDownLatch endsOut = new CountDownLatch(1);
+    private final CountDownLatch overdueAnswersSent = new CountDownLatch(1);
     private final Map<String, Long> endpointNumbers = new HashMap<>();
     private final Map<Long, String> endpointIds = new HashMap<>();
     private long nextEndpoint;
-    /** Endpoints that have left the list, and when. */
-    private final Map<String, Long> goneSince = new HashMap<>();
-    /** What is held and not over, by the module's number, and by the client's id. */
-    private final Map<Long, Held> open = new HashMap<>();
-    private final Map<String, Held> byId = new HashMap<>();
-    private EndedIds ended;
-    /** Destinations that a list has named. */
-    private final Set<Long> destinations = new HashSet<>();
-    /** Attempts that are out, by message and attempt: see {@link #out}. */
-    private final Map<Long, Transport.Attempt> calls = new HashMap<>();
-    /** Calls that the module has decided in this turn: they are made when its ends are on their way. */
-    private final List<Decided> decided = new ArrayList<>();
-    /** Of a turn that took long, calls that are looked at again in a moment, by message and attempt. */
-    private final Map<Long, Decided> stale = new LinkedHashMap<>();
+    /** The endpoints that are not in the endpoint list, and since when. */
+    private final Map<String, Long> removedSince = new HashMap<>();
+    /** Pending messages without a final answer, by the policy's number and by the client's id. */
+    private final Map<Long, Held> pendingByNumber = new HashMap<>();
+    private final Map<String, Held> pendingById = new HashMap<>();
+    private EndedIds endedIds;
+    /** Destinations that an endpoint list has named. */
+    private final Set<Long> knownDestinations = new HashSet<>();
+    /** Attempts in progress, by {@link #attemptKey}. */
+    private final Map<Long, Transport.Attempt> runningAttempts = new HashMap<>();
+    /** Calls that the policy has decided in this iteration. They are made after the iteration's answers have been sent. */
+    private final List<DecidedCall> decidedCalls = new ArrayList<>();
+    /** Calls decided in an iteration that took long, which are checked again before they start, by {@link #attemptKey}. */
+    private final Map<Long, DecidedCall> delayedCalls = new LinkedHashMap<>();
     private final Relay relay;
     private final Admission admission;
     private final Trace trace = TRACE_ENABLED ? new Trace(System.err) : null;
@@ -99,87 +101,88 @@
     private Journal journal;
     private Durability durability;
     private Transport transport;
-    private Map<String, AnswerChannel> outcomes = Map.of();
+    private Map<String, AnswerChannel> answerChannels = Map.of();
     private Map<String, Directory> directories = Map.of();
     private EndpointCatalogue catalogue;
-    private List<Frontend> fronts = List.of();
-    private boolean turnOpen;
-    private double clock;
+    private List<Frontend> frontends = List.of();
+    private boolean iterationOpen;
+    /** The policy's time of the current iteration, in ms since this sender was created. */
+    private double iterationMs;
     private boolean closing;
-    /** A list is known, and what the journal held is back. */
+    /** An endpoint list is known, and the messages of the journal are restored. */
     private boolean ready;
 
-    /** A key for an attempt. Not a record: linking the hash of one takes 90 ms of CPU at the first call. */
-    private static long out(long message, int attempt) {
+    /** A map key for an attempt. It is not a record, since linking a record's hash code takes 90 ms of CPU at the first call. */
+    private static long attemptKey(long message, int attempt) {
         return message << 16 | attempt;
     }
 
-    /** A call; {@code atMs}: the turn that it was decided in, by the module's time. */
-    private record Decided(Held held, int attempt, long endpoint, Relay.Within within, double atMs) {
+    /** A call that the policy has decided; {@code atMs}: the policy's time of the iteration in which it was decided. */
+    private record DecidedCall(Held held, int attempt, long endpoint, Relay.Within within, double atMs) {
     }
 
     /**
-     * A sender of these parts.
+     * Creates a sender; {@link #start} starts it.
      *
-     * @param takingMs from being told to end: new connections come for so long at most
-     * @param closingMs from being told to end: attempts out may last till here
+     * @param acceptMs how long after the start of a drain new connections are accepted, in milliseconds
+     * @param drainMs how long after the start of a drain attempts in progress may take, in milliseconds
      */
-    public Sender(Config config, SenderComponents parts, long takingMs, long closingMs, LifeClock life) {
+    public Sender(Config config, SenderComponents components, long acceptMs, long drainMs, LifeClock life) {
         this.config = config;
-        this.parts = parts;
+        this.components = components;
         this.life = life;
         this.admission = new Admission(config.maxOpen());
-        this.takingMs = takingMs;
-        this.closingMs = closingMs;
+        this.acceptMs = acceptMs;
+        this.drainMs = drainMs;
         this.relay = Relay.create(config.settings(), config.seed(), this);
     }
 
     /**
-     * Ends what an earlier life left overdue, begins to serve, and goes on with the rest; returns the address of
-     * each front when clients can connect to it.
+     * Sends the answers that an earlier process left overdue, then starts to listen, and continues with the other messages of
+     * the journal. Returns the address of each frontend once clients can connect to it.
      */
     public List<InetSocketAddress> start() throws IOException {
-        Journal taken = Retry.within(Retry.START_MS, "journal", () -> new Journal(config.state(), config.diskBytes(),
+        Journal opened = Retry.within(Retry.START_MS, "journal", () -> new Journal(config.state(), config.diskBytes(),
                 config.settings().maxAttempts(), life.mark(), FileChannel::open));
-        loop.submit(() -> open(taken)).syncUninterruptibly();
+        loop.submit(() -> open(opened)).syncUninterruptibly();
         try {
-            endsOut.await();
+            overdueAnswersSent.await();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
         List<InetSocketAddress> addresses = new ArrayList<>();
-        for (Frontend front : fronts) {
-            InetSocketAddress address = front.listen();
+        for (Frontend frontend : frontends) {
+            InetSocketAddress address = frontend.listen();
             Log.info("sender.listening", "name", config.name(), "address", Config.hostPort(address));
             addresses.add(address);
         }
         return addresses;
     }
 
-    private Void open(Journal taken) throws IOException {
-        journal = taken;
-        durability = new Durability(loop, journal, this::mayGoOn, new Effects());
+    private Void open(Journal opened) throws IOException {
+        journal = opened;
+        durability = new Durability(loop, journal, this::mayResend, new JournalListener());
         durability.check();
-        ended = new EndedIds(parts.rememberedIds());
-        transport = parts.transport(loop, new Attempts());
+        endedIds = new EndedIds(components.rememberedIds());
+        transport = components.transport(loop, new AttemptEnds());
         transport.start();
-        outcomes = parts.answerChannels(loop, this::heard);
-        fronts = parts.frontends(loop, new Clients());
-        directories = parts.directories(loop);
+        answerChannels = components.answerChannels(loop, this::acknowledged);
+        frontends = components.frontends(loop, new Intake());
+        directories = components.directories(loop);
         catalogue = new EndpointCatalogue(List.copyOf(directories.keySet()));
         if (TRACE_ENABLED) {
             journal.traced(trace);
-            parts.enableTrace(trace);
+            components.enableTrace(trace);
         }
         recover();
         return null;
     }
 
-    /** What an earlier life held goes back to the module, with what it did and knew. */
+    /** Restores what an earlier process left in the journal: messages with their attempts, endpoint health and send rates. */
     private void recover() {
         long wall = life.wallMs();
-        double now = openTurn();
-        journal.over().forEach(ended::add);
+        double now = beginIteration();
+        journal.over().forEach(endedIds::add);
         for (Map.Entry<String, Journal.Health> known : journal.health().entrySet()) {
             Journal.Health health = known.getValue();
             double since = now - Math.max(0, wall - health.sinceMs());
@@ -195,30 +198,29 @@
         for (Held h : held) {
             h.told = true;
             if (!h.over) {
-                open.put(h.number, h);
-                byId.put(h.id, h);
+                pendingByNumber.put(h.number, h);
+                pendingById.put(h.id, h);
                 admission.held(now, h.destination);
             }
         }
         recovery = new Recovery(loop, life::wallMs, held, h -> {
             int messageClass = config.classes().indexOf(h.messageClass);
             return messageClass >= 0 && config.settings().classes().get(messageClass).inOrder();
-        }, new Recovered());
+        }, new RecoverySteps());
         recovery.start();
     }
 
-    /** The steps of a recovery. */
-    private final class Recovered implements Recovery.Steps {
+    private final class RecoverySteps implements Recovery.Steps {
         @Override
-        public void tell(Held held) {
-            openTurn();
-            owe(held);
+        public void sendAnswer(Held held) {
+            beginIteration();
+            enqueueAnswers(held);
         }
 
         @Override
         public void resume(Held held, long leftMs) {
             int messageClass = config.classes().indexOf(held.messageClass);
-            double now = openTurn();
+            double now = beginIteration();
             if (messageClass < 0) {
                 Log.warn("message.class_gone", "message", held.id, "class", held.messageClass);
                 end(held, new Held.Notice(Held.End.FAILED, 0));
@@ -227,24 +229,24 @@
             long wall = life.wallMs();
             List<Relay.EarlierAttempt> earlier = new ArrayList<>();
             for (Held.Attempt a : held.attempts) {
-                // A wall clock that was set back must not move a send into the future.
+                // If the wall clock was set back, an attempt must not seem to start in the future.
                 double sentAt = now - Math.max(0, wall - a.sentAtMs);
                 earlier.add(new Relay.EarlierAttempt(endpointNumber(a.endpoint), sentAt, !a.neverRan));
             }
-            event(() -> relay.resumed(now, message(held, messageClass, leftMs), earlier));
+            guarded(() -> relay.resumed(now, message(held, messageClass, leftMs), earlier));
         }
 
         @Override
-        public void endsOut() {
+        public void answersSent() {
             directories.forEach((name, directory) ->
-                    directory.start((whole, entries) -> listed(name, directory.fresh(), whole, entries)));
-            parts.warmUp(loop, open.isEmpty() ? REHEARSE_MS : REHEARSE_HELD_MS, endsOut::countDown);
+                    directory.start((complete, entries) -> endpointsChanged(name, directory.fresh(), complete, entries)));
+            components.warmUp(loop, pendingByNumber.isEmpty() ? WARM_UP_MS : WARM_UP_PENDING_MS, overdueAnswersSent::countDown);
         }
 
         @Override
         public void done(int resumed) {
             ready = true;
-            Log.info("sender.ready", "name", config.name(), "resumed", resumed, "turns", recovery.turns());
+            Log.info("sender.ready", "name", config.name(), "resumed", resumed, "turns", recovery.batches());
         }
     }
 
@@ -254,71 +256,73 @@
                 held.key, left, held.destination);
     }
 
-    // ---- the clock and turns ----
+    // ---- event-loop iterations ----
 
-    /** The module's time: one for all events of a turn, which ends when the loop has nothing more at hand. */
-    private double openTurn() {
-        if (!turnOpen) {
-            turnOpen = true;
+    /**
+     * Starts an iteration if none is in progress, and returns the policy's time, in ms, which is the same for all events of the
+     * iteration. The iteration ends when the event loop has run the tasks that it has now.
+     */
+    private double beginIteration() {
+        if (!iterationOpen) {
+            iterationOpen = true;
             journal.begin();
-            clock = now();
-            loop.execute(this::endTurn);
+            iterationMs = now();
+            loop.execute(this::endIteration);
         }
-        return clock;
+        return iterationMs;
     }
 
-    /** The module's ends of a turn are on their way before its calls: a late end is a lost message. */
-    private void endTurn() {
-        long begun = TRACE_ENABLED ? traced(Trace.Part.MODULE) : 0;
+    /** Ends an iteration. Answers are sent before calls are made, since a message whose answer comes late is lost. */
+    private void endIteration() {
+        long begun = TRACE_ENABLED ? enterTrace(Trace.Part.MODULE) : 0;
         try {
-            relay.endTurn(clock);
+            relay.endTurn(iterationMs);
         } catch (RuntimeException e) {
-            fault(e);
+            logFault(e);
         } finally {
-            turnOpen = false;
+            iterationOpen = false;
         }
-        record();
+        recordIteration();
         durability.release();
         if (TRACE_ENABLED) {
             trace.leave();
             trace.enter(Trace.Part.NOTICES);
         }
-        outcomes.values().forEach(AnswerChannel::flush);
+        answerChannels.values().forEach(AnswerChannel::flush);
         if (TRACE_ENABLED) {
             trace.leave();
             trace.enter(Trace.Part.CALLS);
         }
-        makeCalls();
+        startCalls();
         if (TRACE_ENABLED) {
             trace.leave();
             trace.iteration(System.nanoTime() - begun);
         }
     }
 
-    private long traced(Trace.Part part) {
+    private long enterTrace(Trace.Part part) {
         trace.enter(part);
         return System.nanoTime();
     }
 
-    /** What a turn has written is in the journal in one piece, before anything of it leaves. */
-    private boolean flushed() {
+    /** Writes the iteration's records to the journal in one write, before any answer or call leaves. */
+    private boolean flushJournal() {
         boolean written = durability.flush();
-        if (turnOpen) {
+        if (iterationOpen) {
             journal.begin();
         }
         return written;
     }
 
-    /** What the state of the journal does to the rest. */
-    private final class Effects implements Durability.Effects {
+    private final class JournalListener implements Durability.Listener {
         @Override
-        public void recording(boolean possible) {
-            event(() -> relay.recording(openTurn(), possible));
+        public void recordingChanged(boolean possible) {
+            guarded(() -> relay.recording(beginIteration(), possible));
         }
 
         @Override
-        public void tell(Held ended) {
-            owe(ended);
+        public void send(Held ended) {
+            enqueueAnswers(ended);
         }
 
         @Override
@@ -327,72 +331,73 @@
         }
     }
 
-    /** Whether a next life that finds the message open may send it. */
-    private boolean mayGoOn(Held held) {
+    /** Whether the process after a restart may send the message if its end is not recorded. */
+    private boolean mayResend(Held held) {
         int messageClass = config.classes().indexOf(held.messageClass);
         boolean unsafe = messageClass < 0
                 || config.settings().classes().get(messageClass).effect() == Relay.Effect.UNSAFE;
         return !unsafe || held.attempts.stream().allMatch(a -> a.neverRan);
     }
 
-    private void unwritten(String event, String message, IOException cause) {
+    private void writeFailed(String event, String message, IOException cause) {
         Log.error(event, "message", message, "cause", cause);
         durability.check();
     }
 
-    /** Writes what the turn has done so far; attempts of it that can't be recorded are not made. */
-    private void record() {
-        if (!flushed()) {
-            decided.forEach(d -> notMade(d.held, d.attempt));
-            decided.clear();
+    /** Writes the iteration's records so far. If that fails, the calls decided in this iteration are not made. */
+    private void recordIteration() {
+        if (!flushJournal()) {
+            decidedCalls.forEach(d -> dropUnrecorded(d.held, d.attempt));
+            decidedCalls.clear();
         }
     }
 
-    /** Unrecorded an attempt could run twice: it is not made. */
-    private void notMade(Held held, int attempt) {
+    /** Drops an attempt that is not in the journal: after a restart it could run twice. */
+    private void dropUnrecorded(Held held, int attempt) {
         Log.warn("attempt.unrecorded", "message", held.id, "attempt", attempt);
-        notBegun(held, attempt);
+        endNotStarted(held, attempt);
     }
 
-    /** Not one byte of the attempt has left: it has surely not run. */
-    private void notBegun(Held held, int attempt) {
+    /** Ends an attempt of which not one byte has been written, so that it has certainly not run. */
+    private void endNotStarted(Held held, int attempt) {
         held.attempts.get(attempt).neverRan = true;
         loop.execute(() -> attemptEnded(held, attempt, Relay.Outcome.NOT_SENT, false, 0, Relay.Told.NOTHING, 0));
     }
 
-    private void makeCalls() {
-        if (!decided.isEmpty() && now() - clock > STALE_DECISION_MS) {
-            decided.forEach(d -> stale.put(out(d.held.number, d.attempt), d));
-            // By the clock, not at once: the sockets are looked at in between.
-            loop.schedule(LoggedTask.of("sender.calls", this::makeStaleCalls), 0, TimeUnit.MILLISECONDS);
+    private void startCalls() {
+        if (!decidedCalls.isEmpty() && now() - iterationMs > STALE_DECISION_MS) {
+            decidedCalls.forEach(d -> delayedCalls.put(attemptKey(d.held.number, d.attempt), d));
+            // Scheduled instead of executed, so that the loop polls its sockets in between.
+            loop.schedule(LoggedTask.of("sender.calls", this::startDelayedCalls), 0, TimeUnit.MILLISECONDS);
         } else {
-            decided.forEach(this::call);
+            decidedCalls.forEach(this::startCall);
         }
-        decided.clear();
+        decidedCalls.clear();
     }
 
-    private void makeStaleCalls() {
-        List<Decided> again = List.copyOf(stale.values());
-        stale.clear();
-        for (Decided d : again) {
+    private void startDelayedCalls() {
+        List<DecidedCall> delayed = List.copyOf(delayedCalls.values());
+        delayedCalls.clear();
+        for (DecidedCall d : delayed) {
             if (relay.mayBegin(now(), d.held.number, d.attempt)) {
-                call(d);
+                startCall(d);
             } else {
-                notBegun(d.held, d.attempt);
+                endNotStarted(d.held, d.attempt);
             }
         }
     }
 
-    private void call(Decided d) {
+    private void startCall(DecidedCall d) {
         if (FLOW_ENABLED) {
             Flow.step("out", d.held.id, d.attempt, d.held.destination, endpointIds.get(d.endpoint));
         }
         long decidedNanos = startNanos + (long) (d.atMs * 1e6);
-        calls.put(out(d.held.number, d.attempt), transport.attempt(d.held, d.attempt, d.endpoint, d.within, decidedNanos));
+        runningAttempts.put(attemptKey(d.held.number, d.attempt),
+                transport.attempt(d.held, d.attempt, d.endpoint, d.within, decidedNanos));
     }
 
-    /** A fault in one message's handling must not take the others down with the process. */
-    private static void fault(RuntimeException e) {
+    /** Logs an unexpected exception. One in the handling of a message must not end the process and affect the others. */
+    private static void logFault(RuntimeException e) {
         Log.error("module.fault", "cause", e, "at", List.of(e.getStackTrace()).stream().limit(5).toList());
     }
 
@@ -400,42 +405,42 @@
         return (System.nanoTime() - startNanos) / 1e6;
     }
 
-    private void event(Runnable told) {
+    private void guarded(Runnable action) {
         try {
-            told.run();
+            action.run();
         } catch (RuntimeException e) {
-            fault(e);
+            logFault(e);
         }
     }
 
-    // ---- what the module asks ----
+    // ---- actions of the policy ----
 
     @Override
     public void send(long message, long endpoint, Relay.Within within) {
-        Held held = open.get(message);
+        Held held = pendingByNumber.get(message);
         int number = held.attempts.size();
         Held.Attempt attempt = new Held.Attempt(endpointIds.get(endpoint), life.wallMs());
         try {
             journal.attempt(held, attempt);
         } catch (IOException e) {
-            unwritten("journal.attempt_unwritten", held.id, e);
+            writeFailed("journal.attempt_unwritten", held.id, e);
             held.attempts.add(attempt);
-            notMade(held, number);
+            dropUnrecorded(held, number);
             return;
         }
-        decided.add(new Decided(held, number, endpoint, within, clock));
+        decidedCalls.add(new DecidedCall(held, number, endpoint, within, iterationMs));
     }
 
     @Override
     public void cancel(long message, int attempt) {
-        record();
-        makeCalls();
-        Decided late = stale.remove(out(message, attempt));
-        if (late != null) {
-            notBegun(late.held, attempt);
+        recordIteration();
+        startCalls();
+        DecidedCall delayed = delayedCalls.remove(attemptKey(message, attempt));
+        if (delayed != null) {
+            endNotStarted(delayed.held, attempt);
             return;
         }
-        Transport.Attempt call = calls.get(out(message, attempt));
+        Transport.Attempt call = runningAttempts.get(attemptKey(message, attempt));
         if (call != null) {
             call.cancel();
         }
@@ -448,25 +453,25 @@
 
     @Override
     public void refuse(long message, double waitMs) {
-        end(open.get(message), new Held.Notice(Held.End.REFUSED, waitMs));
+        end(pendingByNumber.get(message), new Held.Notice(Held.End.REFUSED, waitMs));
     }
 
     @Override
     public void fail(long message) {
-        end(open.get(message), new Held.Notice(Held.End.FAILED, 0));
+        end(pendingByNumber.get(message), new Held.Notice(Held.End.FAILED, 0));
     }
 
     @Override
     public void wakeAt(double time) {
         long nanos = (long) (time * 1e6) - (System.nanoTime() - startNanos);
         loop.schedule(() -> {
-            double now = openTurn();
+            double now = beginIteration();
             admission.late(now, now - time);
-            LatenessLog.due(now - time);
+            LatenessLog.timerFired(now - time);
             if (TRACE_ENABLED) {
                 trace.late(now - time);
             }
-            event(() -> relay.wake(now));
+            guarded(() -> relay.wake(now));
         }, Math.max(0, nanos), TimeUnit.NANOSECONDS);
     }
 
@@ -477,18 +482,19 @@
 
     @Override
     public void endpointChanged(Relay.EndpointChange change) {
-        OutageLog.endpointChanged(change, endpointIds.get(change.endpoint()), clock);
+        OutageLog.endpointChanged(change, endpointIds.get(change.endpoint()), iterationMs);
     }
 
     @Override
     public void suspicionChanged(Relay.Suspicion suspicion) {
-        Held held = open.get(suspicion.message());
-        OutageLog.suspicionChanged(suspicion, endpointIds.getOrDefault(suspicion.endpoint(), ""), held == null ? "" : held.id, clock);
+        Held held = pendingByNumber.get(suspicion.message());
+        OutageLog.suspicionChanged(suspicion, endpointIds.getOrDefault(suspicion.endpoint(), ""), held == null ? "" : held.id,
+                iterationMs);
     }
 
     @Override
     public void remember(long endpoint, Relay.Health health) {
-        long ago = (long) (clock - health.since());
+        long ago = (long) (iterationMs - health.since());
         remember(endpointIds.get(endpoint), new Journal.Health(health.state(), life.wallMs() - ago,
                 health.carriedPerMs()));
     }
@@ -499,7 +505,7 @@
             journal.pace(new Journal.PaceOf(destination, route == Relay.SHARED ? "" : endpointIds.get(route)),
                     pace);
         } catch (IOException e) {
-            unwritten("journal.pace_unwritten", "", e);
+            writeFailed("journal.pace_unwritten", "", e);
         }
     }
 
@@ -507,34 +513,34 @@
         try {
             journal.health(endpoint, health);
         } catch (IOException e) {
-            unwritten("journal.health_unwritten", "", e);
+            writeFailed("journal.health_unwritten", "", e);
         }
     }
 
     private void end(Held held, Held.Notice notice) {
-        over(held, false);
-        OutageLog.ended(held, notice);
-        LatenessLog.ended(held, life.wallMs() - held.deadlineMs, UNREAD_MS, ready);
+        finish(held, false);
+        OutageLog.undelivered(held, notice);
+        LatenessLog.messageEnded(held, life.wallMs() - held.deadlineMs, ANSWER_RESERVE_MS, ready);
         if (TRACE_ENABLED) {
-            traceEnd(held);
+            traceLateAnswer(held);
         }
-        ended.add(held.id, false);
+        endedIds.add(held.id, false);
         try {
             journal.owed(held, notice);
         } catch (IOException e) {
-            unwritten("journal.notice_unwritten", held.id, e);
+            writeFailed("journal.notice_unwritten", held.id, e);
         }
-        durability.end(held);
+        durability.enqueue(held);
     }
 
-    /** Each claimant is told by its own outcome. */
-    private void owe(Held held) {
+    /** Passes the message's answer to the channel of each recipient. */
+    private void enqueueAnswers(Held held) {
         if (held.claims.isEmpty()) {
-            forget(held);
+            recordCompleted(held);
         }
-        // A copy: one that is heard at once is taken off.
+        // A copy, since a recipient whose answer is acknowledged at once is removed.
         for (Claim claim : List.copyOf(held.claims)) {
-            AnswerChannel outcome = outcomes.get(claim.outcome());
+            AnswerChannel outcome = answerChannels.get(claim.outcome());
             if (outcome == null) {
                 Log.warn("outcome.not_set_up", "outcome", claim.outcome(), "message", held.id);
             } else {
@@ -543,19 +549,19 @@
         }
     }
 
-    /** It has an end that nobody has to hear of. */
-    private void forget(Held held) {
+    /** Records that the message has ended and that no answer is pending. */
+    private void recordCompleted(Held held) {
         try {
             journal.ended(held);
         } catch (IOException e) {
-            unwritten("journal.end_unwritten", held.id, e);
+            writeFailed("journal.end_unwritten", held.id, e);
         }
     }
 
-    private void traceEnd(Held held) {
+    private void traceLateAnswer(Held held) {
         long wall = life.wallMs();
         held.endedMs = wall;
-        if (wall - held.deadlineMs > LATE_END_MS) {
+        if (wall - held.deadlineMs > LATE_ANSWER_MS) {
             int attempts = held.attempts.size();
             long first = attempts == 0 ? wall : held.attempts.get(0).sentAtMs;
             long last = attempts == 0 ? wall : held.attempts.get(attempts - 1).sentAtMs;
@@ -564,10 +570,9 @@
         }
     }
 
-    // ---- what the module is told ----
+    // ---- events for the policy ----
 
-    /** The transport's side. */
-    private final class Attempts implements Transport.AttemptListener {
+    private final class AttemptEnds implements Transport.AttemptListener {
         @Override
         public boolean mayBegin(Transport.Attempt call) {
             return relay.mayBegin(now(), call.message().number, call.number());
@@ -575,7 +580,7 @@
 
         @Override
         public void ended(Transport.Attempt call, Relay.Outcome outcome, boolean gone, double waitMs, Relay.Told told) {
-            calls.remove(out(call.message().number, call.number()));
+            runningAttempts.remove(attemptKey(call.message().number, call.number()));
             double took = (System.nanoTime() - call.startedNanos()) / 1e6;
             attemptEnded(call.message(), call.number(), outcome, gone, waitMs, told, took);
         }
@@ -583,7 +588,7 @@
 
     private void attemptEnded(Held held, int attempt, Relay.Outcome outcome, boolean gone, double waitMs,
             Relay.Told told, double took) {
-        double now = openTurn();
+        double now = beginIteration();
         if (FLOW_ENABLED) {
             Flow.step("end", held.id, attempt, held.destination, held.attempts.get(attempt).endpoint, outcome,
                     (long) took, told.perSecond(), told.left());
@@ -595,18 +600,18 @@
                 journal.neverRan(held, attempt);
             }
         } catch (IOException e) {
-            unwritten("journal.end_unwritten", held.id, e);
+            writeFailed("journal.end_unwritten", held.id, e);
         }
         boolean finished = held.over;
         OutageLog.attemptEnded(held, attempt, outcome, took);
-        event(() -> relay.attemptEnded(now, new Relay.AttemptEnd(held.number, attempt, outcome, took,
+        guarded(() -> relay.attemptEnded(now, new Relay.AttemptEnd(held.number, attempt, outcome, took,
                 finished, waitMs, told)));
     }
 
-    /** Only what asked for it is told of a delivery. */
+    /** Records a delivery, and answers only the recipients that asked for answers of delivered messages. */
     private void delivered(Held held) throws IOException {
-        over(held, true);
-        ended.add(held.id, true);
+        finish(held, true);
+        endedIds.add(held.id, true);
         held.claims.removeIf(claim -> !claim.delivered());
         if (held.claims.isEmpty()) {
             journal.ended(held);
@@ -615,58 +620,61 @@
         try {
             journal.owed(held, new Held.Notice(Held.End.DELIVERED, 0));
         } finally {
-            owe(held);
+            enqueueAnswers(held);
         }
     }
 
-    private void over(Held held, boolean delivered) {
+    private void finish(Held held, boolean delivered) {
         if (FLOW_ENABLED) {
             Flow.step("over", held.id, delivered, held.destination, life.wallMs() - held.takenMs);
         }
         held.over = true;
-        open.remove(held.number);
-        byId.remove(held.id);
+        pendingByNumber.remove(held.number);
+        pendingById.remove(held.id);
         admission.ended(now(), held.destination, delivered);
     }
 
-    private void heard(Owed answer) {
+    private void acknowledged(Owed answer) {
         Held held = answer.held();
-        if (TRACE_ENABLED && held.endedMs > 0 && life.wallMs() - held.deadlineMs > LATE_END_MS) {
+        if (TRACE_ENABLED && held.endedMs > 0 && life.wallMs() - held.deadlineMs > LATE_ANSWER_MS) {
             trace.lateNotice(held.id, life.wallMs() - held.endedMs, life.wallMs() - held.deadlineMs);
         }
         try {
             journal.heard(held, answer.claim());
         } catch (IOException e) {
-            unwritten("journal.told_unwritten", held.id, e);
+            writeFailed("journal.told_unwritten", held.id, e);
         }
     }
 
-    private void listed(String directory, boolean fresh, boolean whole, List<Directory.Entry> told) {
-        EndpointCatalogue.Change change = catalogue.listed(directory, whole, told);
+    private void endpointsChanged(String directory, boolean fresh, boolean complete, List<Directory.Entry> reported) {
+        EndpointCatalogue.Change change = catalogue.update(directory, complete, reported);
         List<Relay.Endpoint> list = new ArrayList<>();
         for (Directory.Entry e : change.entries()) {
             long number = endpointNumber(e.id());
             if (FLOW_ENABLED) {
                 Flow.step("listed", e.id(), e.destination(), e.serving(), e.weight(), e.kind());
             }
-            destinations.add(e.destination());
+            knownDestinations.add(e.destination());
             transport.updateEndpoint(number, e.address(), e.serving());
             list.add(new Relay.Endpoint(number, e.destination(), Math.max(0, config.kinds().indexOf(e.kind())),
                     Math.max(0, config.zones().indexOf(e.zone())), e.serving(), e.weight(), e.gone()));
         }
-        forgetGone(change.whole(), change.entries());
-        event(() -> relay.endpoints(openTurn(), change.whole(), list));
-        recovery.listKnown(fresh);
+        forgetRemoved(change.complete(), change.entries());
+        guarded(() -> relay.endpoints(beginIteration(), change.complete(), list));
+        recovery.listAvailable(fresh);
     }
 
-    /** Later than the module does, lest it name one that is no longer known here. */
-    private void forgetGone(boolean whole, List<Directory.Entry> entries) {
+    /**
+     * Forgets endpoints that left the endpoint list long ago. The policy forgets them earlier, so it never names an endpoint that
+     * is unknown here.
+     */
+    private void forgetRemoved(boolean complete, List<Directory.Entry> entries) {
         long now = System.nanoTime();
-        if (whole) {
+        if (complete) {
             Set<String> named = new HashSet<>();
             entries.forEach(e -> named.add(e.id()));
             endpointNumbers.forEach((id, number) -> {
-                goneSince.putIfAbsent(id, now);
+                removedSince.putIfAbsent(id, now);
                 if (!named.contains(id)) {
                     transport.stop(number);
                 }
@@ -674,18 +682,18 @@
         }
         for (Directory.Entry e : entries) {
             if (e.gone()) {
-                goneSince.putIfAbsent(e.id(), now);
+                removedSince.putIfAbsent(e.id(), now);
             } else {
-                goneSince.remove(e.id());
+                removedSince.remove(e.id());
             }
         }
-        goneSince.entrySet().removeIf(gone -> {
-            boolean old = now - gone.getValue() > TimeUnit.MILLISECONDS.toNanos(GONE_MS);
+        removedSince.entrySet().removeIf(removed -> {
+            boolean old = now - removed.getValue() > TimeUnit.MILLISECONDS.toNanos(FORGET_ENDPOINT_MS);
             if (old) {
-                long number = endpointNumbers.remove(gone.getKey());
+                long number = endpointNumbers.remove(removed.getKey());
                 endpointIds.remove(number);
                 transport.forget(number);
-                remember(gone.getKey(), new Journal.Health(Relay.State.UP, 0, 0));
+                remember(removed.getKey(), new Journal.Health(Relay.State.UP, 0, 0));
             }
             return old;
         });
@@ -695,14 +703,13 @@
         return endpointNumbers.computeIfAbsent(id, unknown -> {
             long number = nextEndpoint++;
             endpointIds.put(number, id);
-            // Until a list names it: an earlier life may have known it.
-            goneSince.put(id, System.nanoTime());
+            // Counts as gone until an endpoint list names it: an id from the journal may not be in use any more.
+            removedSince.put(id, System.nanoTime());
             return number;
         });
     }
 
-    /** The clients' side. */
-    private final class Clients implements MessageIntake {
+    private final class Intake implements MessageIntake {
         @Override
         public boolean ready() {
             return ready && !closing;
@@ -726,29 +733,29 @@
 
         @Override
         public boolean knowsDestination(long destination) {
-            return destinations.contains(destination);
+            return knownDestinations.contains(destination);
         }
 
-        /** What was ended by a notice is not taken on again under its id, nor is it owed anything more. */
+        /** A message that was refused or failed is not accepted again under its id, and gets no further answer. */
         @Override
         public Optional<DuplicateState> checkDuplicate(String id, Claim claim) {
-            Held held = byId.get(id);
+            Held held = pendingById.get(id);
             if (held != null) {
                 claim(held, claim);
                 return Optional.of(DuplicateState.PENDING);
             }
-            return ended.delivered(id).map(delivered ->
+            return endedIds.delivered(id).map(delivered ->
                     delivered ? DuplicateState.DELIVERED : DuplicateState.UNDELIVERED);
         }
 
         private void claim(Held held, Claim claim) {
-            // Somebody is about to hear that it is held: it must not be withdrawn for another who never does.
+            // This client will be told that the message is pending, so it must not be withdrawn if another client disconnects.
             acceptanceReported(held, true);
             if (!held.claims.contains(claim)) {
                 try {
                     journal.claimed(held, claim);
                 } catch (IOException e) {
-                    // It is told in this life; a later one has forgotten who else had asked.
+                    // The recipient gets its answer from this process; after a restart it is not known any more.
                     Log.error("journal.claim_unwritten", "message", held.id, "cause", e);
                     held.claims.add(claim);
                 }
@@ -757,10 +764,10 @@
 
         @Override
         public void recipientGone(String outcome, String peer) {
-            for (Held held : List.copyOf(open.values())) {
+            for (Held held : List.copyOf(pendingByNumber.values())) {
                 for (Claim claim : List.copyOf(held.claims)) {
                     if (claim.outcome().equals(outcome) && claim.peer().equals(peer) && !claim.keep()) {
-                        heard(new Owed(held, claim));
+                        acknowledged(new Owed(held, claim));
                     }
                 }
             }
@@ -771,14 +778,14 @@
             if (!ready) {
                 return SubmissionResult.refused("not ready yet", 0);
             }
-            double mostMs = config.settings().classes().get(config.classes().indexOf(s.messageClass()))
+            double maxMs = config.settings().classes().get(config.classes().indexOf(s.messageClass()))
                     .deadlineMs();
-            long leftMs = (long) Math.min(s.budgetMs(), mostMs);
-            long reserveMs = admission.isLate(now()) ? UNREAD_LATE_MS : Math.min(UNREAD_MS, leftMs / 2);
+            long leftMs = (long) Math.min(s.budgetMs(), maxMs);
+            long reserveMs = admission.isLate(now()) ? LATE_LOOP_RESERVE_MS : Math.min(ANSWER_RESERVE_MS, leftMs / 2);
             leftMs -= reserveMs;
-            Admission.Verdict verdict = admission.admit(now(), s.destination(), leftMs, open.size());
+            Admission.Verdict verdict = admission.admit(now(), s.destination(), leftMs, pendingByNumber.size());
             if (FLOW_ENABLED) {
-                Flow.step("asked", s.id(), s.destination(), verdict.taken(), open.size(), leftMs,
+                Flow.step("asked", s.id(), s.destination(), verdict.taken(), pendingByNumber.size(), leftMs,
                         s.key().orElse("-"), verdict.reason().replace(' ', '_'));
             }
             if (!verdict.taken()) {
@@ -788,22 +795,22 @@
                     s.destination(), life.wallMs() + leftMs, s.body(), s.recipients().get(0));
             held.reserveMs = (int) reserveMs;
             held.claims.addAll(s.recipients().subList(1, s.recipients().size()));
-            // Its end writes what is collected, whatever becomes of this message.
-            openTurn();
+            // The end of the iteration writes the collected records, whether or not this message is accepted.
+            beginIteration();
             try {
                 journal.taken(held);
             } catch (IOException e) {
                 return SubmissionResult.refused("no room", 0);
             }
-            open.put(held.number, held);
-            byId.put(held.id, held);
+            pendingByNumber.put(held.number, held);
+            pendingById.put(held.id, held);
             admission.held(now(), held.destination);
             return SubmissionResult.accepted(held);
         }
 
         @Override
         public boolean writeAccepted() {
-            return flushed();
+            return flushJournal();
         }
 
         @Override
@@ -812,42 +819,42 @@
         }
 
         @Override
-        public void acceptanceReported(Held held, boolean heard) {
+        public void acceptanceReported(Held held, boolean received) {
             if (held.told || held.over) {
                 return;
             }
-            held.told = heard;
-            if (!heard) {
-                // A client that never heard of its being taken is owed nothing, and will come again.
-                over(held, false);
+            held.told = received;
+            if (!received) {
+                // A client that was not told of the acceptance gets no answer, and will submit the message again.
+                finish(held, false);
                 try {
                     journal.withdrawn(held);
                 } catch (IOException e) {
-                    unwritten("journal.withdrawal_unwritten", held.id, e);
+                    writeFailed("journal.withdrawal_unwritten", held.id, e);
                 }
                 return;
             }
             int messageClass = config.classes().indexOf(held.messageClass);
             double left = held.deadlineMs - life.wallMs();
-            event(() -> relay.message(openTurn(), message(held, messageClass, left)));
+            guarded(() -> relay.message(beginIteration(), message(held, messageClass, left)));
         }
     }
 
-    // ---- the end ----
+    // ---- shutdown ----
 
     /**
-     * Ends in order, within the time before SIGKILL: takes messages while new connections still come, starts
-     * no call that can't end in time, and lets calls and notices out finish. The journal holds the rest.
+     * Shuts down gracefully within the time before SIGKILL: accepts messages while new connections may still arrive, starts no
+     * call that can't end in time, and waits for the calls and notices in progress. The journal keeps the other messages.
      */
     public void drain() {
         long begun = System.nanoTime();
         loop.execute(() -> {
             closing = true;
-            event(() -> relay.closing(openTurn(), clock + closingMs));
+            guarded(() -> relay.closing(beginIteration(), iterationMs + drainMs));
             loop.schedule(() -> {
-                fronts.forEach(Frontend::close);
+                frontends.forEach(Frontend::close);
                 awaitIdle(begun);
-            }, takingMs, TimeUnit.MILLISECONDS);
+            }, acceptMs, TimeUnit.MILLISECONDS);
         });
         try {
             stopped.await();
@@ -857,14 +864,14 @@
     }
 
     private void awaitIdle(long begun) {
-        boolean alone = fronts.stream().allMatch(front -> front.openConnections() == 0 && !front.accepting());
-        long leftMs = closingMs - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun);
+        boolean alone = frontends.stream().allMatch(frontend -> frontend.openConnections() == 0 && !frontend.accepting());
+        long leftMs = drainMs - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun);
         if (leftMs <= 0) {
-            fronts.forEach(Frontend::finish);
+            frontends.forEach(Frontend::finish);
         }
-        // What was read a moment ago has its answer first: to end now would end its connection without one.
-        if (alone && (leftMs <= 0 || open.isEmpty() && pendingCount() == 0) || leftMs <= -LAST_ANSWERS_MS) {
-            Log.info("sender.ended", "name", config.name(), "held", open.size(), "owed", pendingCount());
+        // Requests that were read get their answers first; to stop now would close their connections without one.
+        if (alone && (leftMs <= 0 || pendingByNumber.isEmpty() && pendingCount() == 0) || leftMs <= -LAST_ANSWERS_MS) {
+            Log.info("sender.ended", "name", config.name(), "held", pendingByNumber.size(), "owed", pendingCount());
             stopped.countDown();
             return;
         }
@@ -872,7 +879,7 @@
     }
 
     private int pendingCount() {
-        return durability.waiting() + outcomes.values().stream().mapToInt(AnswerChannel::pendingCount).sum();
+        return durability.pendingCount() + answerChannels.values().stream().mapToInt(AnswerChannel::pendingCount).sum();
     }
 
     /** Waits until the sender has ended. */
@@ -880,24 +887,24 @@
         stopped.await();
     }
 
-    /** The thread that owns all of this. */
+    /** The event loop whose thread uses the policy and the components. */
     public EventLoop loop() {
         return loop;
     }
 
-    /** Turns that taking up the journal took. */
-    public int recoverySlices() {
-        return loop.submit(recovery::turns).syncUninterruptibly().getNow();
+    /** The number of batches in which the messages of the journal were restored. */
+    public int recoveryBatches() {
+        return loop.submit(recovery::batches).syncUninterruptibly().getNow();
     }
 
     /**
-     * Lets go of everything at once, as the end of the process would: the journal first. The quiet period is not for quiet:
-     * without one Netty 4.2's loop may end in the round in which it is told to, before it has closed its channels, and the
-     * port stays taken for the life of the process.
+     * Releases everything at once, as the end of the process would; the journal first. The shutdown needs a quiet period:
+     * without one, the event loop of Netty 4.2 may end in the same iteration, before it has closed its channels, and the port
+     * stays in use until the process ends.
      */
     public void kill() {
         loop.submit(journal::close).syncUninterruptibly();
-        fronts.forEach(Frontend::kill);
+        frontends.forEach(Frontend::kill);
         group.shutdownGracefully(KILL_QUIET_MS, 10 * KILL_QUIET_MS, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
 }
--- a/src/main/java/slipfield/core/SenderComponents.java
+++ b/src/main/java/slipfield/core/SenderComponents.java
@@ -8,28 +8,30 @@
 import slipfield.journal.Owed;
 import slipfield.trace.Trace;
 
-/** What hangs on a core, made for its event loop. The core knows these by their ports only. */
+/** Creates the components around a core, on its event loop. The core knows them only by their ports. */
 public interface SenderComponents {
-    /** Ids of messages that are over are known for so many messages after them. */
+    /** How many ids of ended messages are remembered, to recognise duplicates. */
     default int rememberedIds() {
         return 4096;
     }
 
-    /** The way to endpoints. */
-    Transport transport(EventLoop loop, Transport.AttemptListener ends);
+    /** The transport to endpoints. */
+    Transport transport(EventLoop loop, Transport.AttemptListener listener);
 
-    /** Where final answers go, by the name in a message's claim; {@code heard} is told of each. */
-    Map<String, AnswerChannel> answerChannels(EventLoop loop, Consumer<Owed> heard);
+    /** The answer channels, by the name that a message's recipient has for them; each reports acknowledged answers. */
+    Map<String, AnswerChannel> answerChannels(EventLoop loop, Consumer<Owed> acknowledged);
 
-    /** Where endpoints come from; the first one's ids stand as they are, those of others behind its name. */
+    /** The sources of endpoints, by name. Endpoint ids of the first one are used unchanged, others are prefixed with the name. */
     Map<String, Directory> directories(EventLoop loop);
 
-    /** The ways in. */
-    List<Frontend> frontends(EventLoop loop, MessageIntake desk) throws IOException;
+    /** The frontends that accept messages. */
+    List<Frontend> frontends(EventLoop loop, MessageIntake intake) throws IOException;
 
-    /** Accounts for its parts' time from now on. */
+    /** Makes the components account for the time that they use, from now on. */
     void enableTrace(Trace trace);
 
-    /** Makes ready what first messages would find unready, for so many milliseconds at most. */
-    void warmUp(EventLoop loop, long mostMs, Runnable then);
+    /**
+     * Loads and warms up the code that the first messages need, for {@code maxMs} milliseconds at most, then runs {@code then}.
+     */
+    void warmUp(EventLoop loop, long maxMs, Runnable then);
 }
--- a/src/main/java/slipfield/core/Transport.java
+++ b/src/main/java/slipfield/core/Transport.java
@@ -5,67 +5,71 @@
 import slipfield.policy.Relay;
 
 /**
- * A way to endpoints, as the core sees it: makes one attempt at a time for a message and reports its one end.
- * Called on the core's thread, and reports on it, never from within a call.
+ * Makes attempts to deliver messages to endpoints, and reports the end of each attempt exactly once. All methods are called on
+ * the core's event loop; ends are reported on it too, never from within a call.
  */
 public interface Transport {
-    /** An attempt on its way. */
+    /** An attempt in progress. */
     interface Attempt {
-        /** The message that it carries. */
+        /** The message that is delivered. */
         Held message();
 
-        /** Which of the message's attempts it is, from 0. */
+        /** The number of this attempt among those of the message, from 0. */
         int number();
 
-        /** When it began, by {@link System#nanoTime}. */
+        /** When the attempt started, by {@link System#nanoTime}. */
         long startedNanos();
 
-        /** Stops waiting for it; its end is still reported, as one that never ran where that is sure. */
+        /**
+         * Cancels the attempt. Its end is still reported: as one that never ran if it is certain that the endpoint has not
+         * received the message.
+         */
         void cancel();
     }
 
-    /** Told of the end of each attempt, once; asked before its first byte where that had to wait. */
+    /** Receives the end of each attempt, and decides whether a delayed attempt may still start. */
     interface AttemptListener {
         /**
-         * Whether an attempt that was decided a while ago may still begin, its connection having come up only now. False: not
-         * one byte of it is written, and it ends as {@link Relay.Outcome#NOT_SENT}. Without anybody to decide it may.
+         * Whether an attempt that was decided earlier may still start, now that its connection is open. If false, not one byte
+         * of it is written and it ends as {@link Relay.Outcome#NOT_SENT}. By default it may.
          */
         default boolean mayBegin(Attempt attempt) {
             return true;
         }
 
         /**
-         * An attempt ended.
+         * An attempt has ended.
          *
-         * @param gone the message is over, whatever else is true
-         * @param waitMs the wait that the endpoint told, in milliseconds, or 0
-         * @param told what the destination says of its limit
+         * @param gone whether the endpoint reported that the message is over (HTTP 410); it counts as delivered then, whatever
+         *     the outcome
+         * @param waitMs the delay that the endpoint requested, in milliseconds, or 0
+         * @param told the rate limit that the destination reported
          */
         void ended(Attempt attempt, Relay.Outcome outcome, boolean gone, double waitMs, Relay.Told told);
     }
 
-    /** Begins to look after what it keeps open. */
+    /** Starts the maintenance of open connections. */
     void start();
 
-    /** An endpoint is at this address from now on; connections to another one are of no more use. */
+    /** Sets the address of an endpoint. Connections to another address of it are not used any more. */
     void updateEndpoint(long endpoint, SocketAddress address, boolean serving);
 
-    /** Nothing new may go there, be it decided already. */
+    /** Starts no more attempts at an endpoint, not even those that are decided already. */
     void stop(long endpoint);
 
-    /** An endpoint has been gone for long. */
+    /** Releases the state of an endpoint that left the endpoint list long ago. */
     void forget(long endpoint);
 
     /**
-     * Begins an attempt; its end is told once, within the time-out or soon after. That counts from when the
-     * module decided.
+     * Starts an attempt. Its end is reported once, within the time-out or soon after; the time-out counts from when the attempt
+     * was decided.
      *
-     * @param number which of the message's attempts it is, from 0
-     * @param within its times, counted from {@code decidedNanos}; one that can't be written in time ends as
+     * @param number the number of the attempt among those of the message, from 0
+     * @param within its times, counted from {@code decidedNanos}; an attempt that can't be written in time ends as
      *     {@link Relay.Outcome#NOT_SENT}
      */
     Attempt attempt(Held held, int number, long endpoint, Relay.Within within, long decidedNanos);
 
-    /** Closes idle connections to an endpoint; the next attempt there opens a new one. */
+    /** Closes the idle connections to an endpoint; the next attempt opens a new one. */
     void closeIdle(long endpoint);
 }
--- a/src/main/java/slipfield/daemon/Daemon.java
+++ b/src/main/java/slipfield/daemon/Daemon.java
@@ -161,7 +161,7 @@
     }
 
     int recoveryTurns() {
-        return sender.recoverySlices();
+        return sender.recoveryBatches();
     }
 
     /**
--- a/src/test/java/slipfield/core/EndpointCatalogueTest.java
+++ b/src/test/java/slipfield/core/EndpointCatalogueTest.java
@@ -25,32 +25,32 @@
     @Test
     void oneDirectorysWordStandsAsItIs() {
         List<Directory.Entry> told = List.of(entry("s-1", false));
-        EndpointCatalogue.Change change = new EndpointCatalogue(List.of("platform")).listed("platform", true, told);
-        assertTrue(change.whole());
+        EndpointCatalogue.Change change = new EndpointCatalogue(List.of("platform")).update("platform", true, told);
+        assertTrue(change.complete());
         assertSame(told, change.entries());
     }
 
     @Test
     void aWholeListOfOneLeavesTheOthersStanding() {
         EndpointCatalogue all = new EndpointCatalogue(List.of("platform", "consul"));
-        all.listed("platform", true, List.of(entry("s-1", false), entry("s-2", false)));
+        all.update("platform", true, List.of(entry("s-1", false), entry("s-2", false)));
         assertEquals(Set.of("s-1", "s-2", "consul/s-1"),
-                ids(all.listed("consul", true, List.of(entry("s-1", false)))));
+                ids(all.update("consul", true, List.of(entry("s-1", false)))));
         // The one that lives on says whole lists; the dead one's last word stands.
         assertEquals(Set.of("s-1", "s-2", "consul/s-9"),
-                ids(all.listed("consul", true, List.of(entry("s-9", false)))));
+                ids(all.update("consul", true, List.of(entry("s-9", false)))));
     }
 
     @Test
     void aChangeIsToldAloneAndRemembered() {
         EndpointCatalogue all = new EndpointCatalogue(List.of("platform", "consul"));
-        all.listed("platform", true, List.of(entry("s-1", false)));
-        EndpointCatalogue.Change change = all.listed("consul", false, List.of(entry("c-1", false)));
-        assertFalse(change.whole());
+        all.update("platform", true, List.of(entry("s-1", false)));
+        EndpointCatalogue.Change change = all.update("consul", false, List.of(entry("c-1", false)));
+        assertFalse(change.complete());
         assertEquals(Set.of("consul/c-1"), ids(change));
-        EndpointCatalogue.Change gone = all.listed("platform", false, List.of(entry("s-1", true)));
+        EndpointCatalogue.Change gone = all.update("platform", false, List.of(entry("s-1", true)));
         assertEquals(Set.of("s-1"), ids(gone));
         assertTrue(gone.entries().get(0).gone());
-        assertEquals(Set.of("consul/c-1", "s-3"), ids(all.listed("platform", true, List.of(entry("s-3", false)))));
+        assertEquals(Set.of("consul/c-1", "s-3"), ids(all.update("platform", true, List.of(entry("s-3", false)))));
     }
 }
--- a/src/test/java/slipfield/core/RecoveryTest.java
+++ b/src/test/java/slipfield/core/RecoveryTest.java
@@ -32,7 +32,7 @@
     /** Every third message meets a fault in whoever takes it up. */
     private final class Faulty implements Recovery.Steps {
         @Override
-        public void tell(Held held) {
+        public void sendAnswer(Held held) {
             takeUp(held);
         }
 
@@ -49,7 +49,7 @@
         }
 
         @Override
-        public void endsOut() {
+        public void answersSent() {
         }
 
         @Override
@@ -69,7 +69,7 @@
         loop.submit(() -> {
             Recovery recovery = new Recovery(loop, () -> NOW_MS, held, message -> false, new Faulty());
             recovery.start();
-            recovery.listKnown(true);
+            recovery.listAvailable(true);
         }).syncUninterruptibly();
         assertTrue(done.await(30, TimeUnit.SECONDS), "taken up: " + takenUp.size());
         assertEquals(MANY, takenUp.size());
