--- a/src/main/java/slipfield/log/EventRateLimit.java
+++ b/src/main/java/slipfield/log/EventRateLimit.java
@@ -1,35 +1,35 @@
 package slipfield.log;
 
-/** How often one event is told: a token bucket of ten, filled by one a second. */
+/** Limits how often an event is logged: a token bucket of ten tokens, refilled with one per second. */
 final class EventRateLimit {
-    private static final long MOST = 10;
-    private static final long EVERY_MS = 1000;
+    private static final long CAPACITY = 10;
+    private static final long REFILL_MS = 1000;
 
-    private long tokens = MOST;
-    private long filledMs;
-    private boolean begun;
-    private long passedOver;
+    private long tokens = CAPACITY;
+    private long refilledMs;
+    private boolean started;
+    private long suppressed;
 
     /**
-     * Asks for one at this time, in ms.
+     * Takes a token for an event at this time, in ms.
      *
-     * @return how many were passed over before it; -1: it is passed over too
+     * @return how many events were suppressed since the last one that was logged; -1 if this one is suppressed too
      */
     synchronized long acquire(long nowMs) {
-        if (!begun) {
-            begun = true;
-            filledMs = nowMs;
+        if (!started) {
+            started = true;
+            refilledMs = nowMs;
         }
-        long more = Math.max(0, nowMs - filledMs) / EVERY_MS;
-        tokens = Math.min(MOST, tokens + more);
-        filledMs += more * EVERY_MS;
+        long more = Math.max(0, nowMs - refilledMs) / REFILL_MS;
+        tokens = Math.min(CAPACITY, tokens + more);
+        refilledMs += more * REFILL_MS;
         if (tokens == 0) {
-            passedOver++;
+            suppressed++;
             return -1;
         }
         tokens--;
-        long told = passedOver;
-        passedOver = 0;
-        return told;
+        long before = suppressed;
+        suppressed = 0;
+        return before;
     }
 }
--- a/src/main/java/slipfield/log/JdkBackend.java
+++ b/src/main/java/slipfield/log/JdkBackend.java
@@ -7,13 +7,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The JDK's logging behind SLF4J, with a handler of its own for the libraries' lines; this program's are printed without one,
- * since the JDK takes all handlers away as soon as the process is told to end, seconds before it does. The root's
- * handler and formatter, which would cost a start some 50 ms of CPU, are not asked for.
+ * The JDK's logging behind SLF4J, with a handler for the lines of libraries. The lines of this program are printed without a
+ * handler: the JDK removes all handlers as soon as the process is asked to end, which is seconds before it ends. The root
+ * logger's handler and formatter are not used, since creating them takes about 50 ms of CPU at the start.
  */
 final class JdkBackend extends Handler {
     private static final String OWN = "slipfield";
-    /** The libraries' loggers; held here, since the JDK forgets what nobody holds. */
+    /** The loggers that get this handler, referenced here since the JDK garbage-collects loggers without a reference. */
     private static final Logger[] PARENTS = {Logger.getLogger(OWN), Logger.getLogger("io.netty")};
 
     private final Layout layout;
@@ -31,23 +31,23 @@
         return LoggerFactory.getLogger(OWN);
     }
 
-    /** Prints a line, whatever has become of the handlers. */
+    /** Prints a line, whether or not the JDK has removed the handlers. */
     static void print(String line) {
         System.err.println(line);
     }
 
     @Override
-    public void publish(LogRecord told) {
-        print(told.getLoggerName().equals(OWN) ? told.getMessage() : foreign(told));
+    public void publish(LogRecord record) {
+        print(record.getLoggerName().equals(OWN) ? record.getMessage() : libraryLine(record));
     }
 
-    private String foreign(LogRecord told) {
-        String level = told.getLevel().intValue() >= Level.SEVERE.intValue() ? "error"
-                : told.getLevel().intValue() >= Level.WARNING.intValue() ? "warn" : "info";
-        return told.getThrown() == null
-                ? layout.line(level, "library.says", "logger", told.getLoggerName(), "text", told.getMessage())
-                : layout.line(level, "library.says", "logger", told.getLoggerName(), "text", told.getMessage(), "cause",
-                        told.getThrown());
+    private String libraryLine(LogRecord record) {
+        String level = record.getLevel().intValue() >= Level.SEVERE.intValue() ? "error"
+                : record.getLevel().intValue() >= Level.WARNING.intValue() ? "warn" : "info";
+        return record.getThrown() == null
+                ? layout.line(level, "library.says", "logger", record.getLoggerName(), "text", record.getMessage())
+                : layout.line(level, "library.says", "logger", record.getLoggerName(), "text", record.getMessage(), "cause",
+                        record.getThrown());
     }
 
     @Override
--- a/src/main/java/slipfield/log/Layout.java
+++ b/src/main/java/slipfield/log/Layout.java
@@ -4,9 +4,9 @@
 import java.time.Instant;
 import java.time.temporal.ChronoUnit;
 
-/** How an event is written: {@code TIME LEVEL EVENT name=value ...}, or one JSON object. */
+/** The format of a log line: {@code TIME LEVEL EVENT name=value ...}, or one JSON object. */
 enum Layout {
-    /** For people. */
+    /** For operators to read. */
     TEXT {
         @Override
         String line(Instant at, String level, String event, Object... fields) {
@@ -24,7 +24,7 @@
             return line.toString();
         }
     },
-    /** For programs. */
+    /** For programs to parse. */
     JSON {
         @Override
         String line(Instant at, String level, String event, Object... fields) {
@@ -46,7 +46,7 @@
         }
     };
 
-    private static final int LONGEST = 1000;
+    private static final int MAX_VALUE_LENGTH = 1000;
 
     abstract String line(Instant at, String level, String event, Object... fields);
 
@@ -54,11 +54,12 @@
         return line(Instant.now(), level, event, fields);
     }
 
-    /** The layout of this name; text where it is absent or unknown: a sender is not kept from its start by its log. */
+    /** The layout with this name; text if it is absent or unknown, so that a wrong log setting does not prevent a start. */
     static Layout named(String name) {
         return "json".equalsIgnoreCase(name) ? JSON : TEXT;
     }
 
+    /** Whether a value can be written without quotes. */
     private static boolean plain(String value) {
         for (int i = 0; i < value.length(); i++) {
             char c = value.charAt(i);
@@ -66,12 +67,12 @@
                 return false;
             }
         }
-        return !value.isEmpty() && value.length() <= LONGEST;
+        return !value.isEmpty() && value.length() <= MAX_VALUE_LENGTH;
     }
 
-    /** Quoted, on one line and bounded, whatever a peer put into it. */
+    /** Appends a value in quotes, on one line and truncated: it may come from a peer. */
     private static void quote(StringBuilder line, String value) {
-        String bounded = value.length() > LONGEST ? value.substring(0, LONGEST) + "..." : value;
+        String bounded = value.length() > MAX_VALUE_LENGTH ? value.substring(0, MAX_VALUE_LENGTH) + "..." : value;
         line.append('"');
         JsonStringEncoder.getInstance().quoteAsString(bounded, line);
         line.append('"');
--- a/src/main/java/slipfield/log/Log.java
+++ b/src/main/java/slipfield/log/Log.java
@@ -6,10 +6,10 @@
 import org.slf4j.Logger;
 
 /**
- * Events for the people on call, one a line on standard error; never one for each message. An event has a name that lasts,
- * such as {@code journal.write_failed}, and fields, given as name and value in turn; {@code docs/operate/logging.md} lists
- * them. A warning or error is told ten times, then once a second at most, with how many were passed over: peers, and a full
- * disk, can cause them without end.
+ * Logs events for operators, one line each, on standard error; never one per message. An event has a stable name, such as
+ * {@code journal.write_failed}, and fields, given as alternating names and values; {@code docs/operate/logging.md} lists them. A
+ * warning or error is logged ten times, then at most once per second with the number of suppressed ones, since peers or a full
+ * disk can cause any number of them.
  */
 public final class Log {
     private static final Layout LAYOUT = Layout.named(System.getenv("SLIPFIELD_LOG"));
@@ -19,38 +19,38 @@
     private Log() {
     }
 
-    /** Something changed that is as it should be. */
+    /** Logs a change in normal operation. */
     public static void info(String event, Object... fields) {
         if (LOGGER.isInfoEnabled()) {
             JdkBackend.print(LAYOUT.line("info", event, fields));
         }
     }
 
-    /** Something is wrong, and is borne. */
+    /** Logs a problem that the sender can handle. */
     public static void warn(String event, Object... fields) {
-        Object[] told = bounded(event, fields);
-        if (told != null && LOGGER.isWarnEnabled()) {
-            JdkBackend.print(LAYOUT.line("warn", event, told));
+        Object[] limited = limit(event, fields);
+        if (limited != null && LOGGER.isWarnEnabled()) {
+            JdkBackend.print(LAYOUT.line("warn", event, limited));
         }
     }
 
-    /** Something is wrong that costs messages their order, or the sender its work. */
+    /** Logs a problem because of which messages may get out of order or the sender may not be able to work. */
     public static void error(String event, Object... fields) {
-        Object[] told = bounded(event, fields);
-        if (told != null && LOGGER.isErrorEnabled()) {
-            JdkBackend.print(LAYOUT.line("error", event, told));
+        Object[] limited = limit(event, fields);
+        if (limited != null && LOGGER.isErrorEnabled()) {
+            JdkBackend.print(LAYOUT.line("error", event, limited));
         }
     }
 
-    /** The fields to tell, with how many events were passed over before; null: this one is passed over too. */
-    private static Object[] bounded(String event, Object... fields) {
-        long passedOver = LIMITS.computeIfAbsent(event, e -> new EventRateLimit()).acquire(System.nanoTime() / 1_000_000);
-        if (passedOver <= 0) {
-            return passedOver < 0 ? null : fields;
+    /** The fields to log, with the number of events suppressed before; null if this event is suppressed too. */
+    private static Object[] limit(String event, Object... fields) {
+        long suppressed = LIMITS.computeIfAbsent(event, e -> new EventRateLimit()).acquire(System.nanoTime() / 1_000_000);
+        if (suppressed <= 0) {
+            return suppressed < 0 ? null : fields;
         }
         Object[] more = Arrays.copyOf(fields, fields.length + 2);
         more[fields.length] = "passed_over";
-        more[fields.length + 1] = passedOver;
+        more[fields.length + 1] = suppressed;
         return more;
     }
 }
--- a/src/main/java/slipfield/log/LoggedTask.java
+++ b/src/main/java/slipfield/log/LoggedTask.java
@@ -3,11 +3,11 @@
 import java.util.Arrays;
 
 /**
- * A task for a timer whose fault is told. An event loop keeps the exception of a scheduled task in a future that nobody looks at,
- * and runs a repeated task never again after one.
+ * A task for a timer that logs its exceptions. An event loop only stores the exception of a scheduled task in the task's future,
+ * which nobody reads, and does not run a repeated task again after an exception.
  */
 public final class LoggedTask implements Runnable {
-    /** Frames of the stack that are told. */
+    /** The number of stack frames that are logged. */
     private static final int FRAMES = 5;
 
     private final String name;
@@ -18,7 +18,7 @@
         this.task = task;
     }
 
-    /** The task, by the name that its fault is told under. */
+    /** Wraps a task; its exceptions are logged under this name. */
     public static Runnable of(String name, Runnable task) {
         return new LoggedTask(name, task);
     }
--- a/src/main/java/slipfield/log/package-info.java
+++ b/src/main/java/slipfield/log/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Events for the people on call: SLF4J over the JDK's logging, laid out as text or as JSON. Uses nothing of the project.
+ * Log events for operators: SLF4J over the JDK's logging, as text or as JSON. It depends on no other package of the project.
  */
 package slipfield.log;
--- a/src/main/java/slipfield/trace/Trace.java
+++ b/src/main/java/slipfield/trace/Trace.java
@@ -15,27 +15,27 @@
 import java.util.TreeMap;
 
 /**
- * Where the event loop's CPU goes: by part, summed over a second, with the turns of that second, the longest of
- * them and the latest that anything due was done. Parts nest; what runs within an inner one is not counted for
- * the outer. Beside it the CPU of the process by kind of thread, as Linux accounts for it; elsewhere that column
- * is empty. Called on the loop's thread only.
+ * Measures how the event loop uses its CPU time: by part, summed over a second, with the number of iterations in that second,
+ * the longest iteration and the largest delay of a timer. Parts nest; time in an inner part is not counted for the outer one.
+ * The report also has the CPU time of the process by thread name, as Linux counts it; on other systems that column is empty. All
+ * methods are called on the event loop's thread.
  */
 public final class Trace {
-    /** What the loop's time is spent on. */
+    /** A part of the event loop's work. */
     public enum Part {
-        /** The decision module's turns. */
+        /** The delivery policy's iterations. */
         MODULE,
-        /** Records written to the journal, whatever they are of. */
+        /** Writing records of any kind to the journal. */
         JOURNAL,
-        /** What clients sent: decoded, checked, answered. */
+        /** Decoding, checking and answering the requests of clients. */
         READS,
-        /** Answers of endpoints, as far as they are read at once. */
+        /** Reading answers of endpoints, as far as they are available at once. */
         ANSWERS,
-        /** Connections to endpoints begun. */
+        /** Opening connections to endpoints. */
         CONNECTS,
-        /** Calls to endpoints: writing. */
+        /** Writing calls to endpoints. */
         CALLS,
-        /** Notices of final answers. */
+        /** Sending notices of final answers. */
         NOTICES
     }
 
@@ -43,80 +43,89 @@
 
     private final PrintStream out;
     private final ThreadMXBean threads = ManagementFactory.getThreadMXBean();
-    private final long begun = System.nanoTime();
+    private final long startNanos = System.nanoTime();
     private final Deque<Part> parts = new ArrayDeque<>();
-    private final Map<Part, Long> cpu = new EnumMap<>(Part.class);
+    private final Map<Part, Long> cpuNanos = new EnumMap<>(Part.class);
     private Map<String, Long> processBefore = Map.of();
-    private long cpuMark;
-    private long loopBefore;
-    private long reported = begun;
-    private long turns;
+    private long bookedCpuNanos;
+    private long loopCpuBefore;
+    private long reportedNanos = startNanos;
+    private long iterations;
     private long longestNanos;
-    private double latestMs;
+    private double maxLateMs;
 
-    /** Reports to this stream, a line a second while there are turns. */
+    /** Reports to this stream, one line per second while the event loop has work. */
     public Trace(PrintStream out) {
         this.out = out;
     }
 
-    /** What follows is of this part, until {@link #leave}. */
+    /** Counts the time from now on for this part, until {@link #leave}. */
     public void enter(Part part) {
-        book();
+        addCpuTime();
         parts.push(part);
     }
 
-    /** The part entered last is over. */
+    /** Ends the part that was entered last. */
     public void leave() {
-        book();
+        addCpuTime();
         parts.pop();
     }
 
-    private void book() {
+    private void addCpuTime() {
         long now = threads.getCurrentThreadCpuTime();
         if (!parts.isEmpty()) {
-            cpu.merge(parts.peek(), now - cpuMark, Long::sum);
+            cpuNanos.merge(parts.peek(), now - bookedCpuNanos, Long::sum);
         }
-        cpuMark = now;
+        bookedCpuNanos = now;
     }
 
-    /** A turn took so long, by the wall clock. */
+    /** An event-loop iteration took this long, in ns of elapsed time. */
     public void iteration(long nanos) {
-        turns++;
+        iterations++;
         longestNanos = Math.max(longestNanos, nanos);
         long now = System.nanoTime();
-        if (now - reported >= REPORT_NANOS) {
+        if (now - reportedNanos >= REPORT_NANOS) {
             report(now);
         }
     }
 
-    /** Something that was due was done so many milliseconds later. */
+    /** A timer fired this many milliseconds late. */
     public void late(double ms) {
-        latestMs = Math.max(latestMs, ms);
+        maxLateMs = Math.max(maxLateMs, ms);
     }
 
     /**
-     * A message was ended after its time, or close to it: where its time went. {@code waitedMs}: till its first
-     * attempt, or its end where there was none; {@code sinceMs}: from its last attempt till its end, or 0.
+     * Reports where the time of a message went that ended late.
+     *
+     * @param heldMs from its acceptance to its end, in milliseconds
+     * @param dueMs from its deadline to its end, in milliseconds
+     * @param waitedMs until its first attempt, or until its end if there was none, in milliseconds
+     * @param sinceMs from its last attempt to its end, in milliseconds, or 0
      */
     public void lateEnd(String id, double heldMs, double dueMs, int attempts, double waitedMs, double sinceMs,
             String path) {
-        line(String.format(Locale.ROOT, "late end of %s: held %.0f ms, %.0f ms past its end; %.0f ms before the "
+        line(String.format(Locale.ROOT, "late end of %s: pending for %.0f ms, %.0f ms past its deadline; %.0f ms before the "
                 + "first of %d attempts, %.0f ms since the last; %s", id, heldMs, dueMs, waitedMs, attempts, sinceMs,
                 path));
     }
 
-    /** A notice was heard late: so long after the message's end, and so long after its time was up. */
+    /**
+     * Reports a notice that was acknowledged late.
+     *
+     * @param sinceEndMs how long after the message's end, in milliseconds
+     * @param dueMs how long after the message's deadline, in milliseconds
+     */
     public void lateNotice(String id, double sinceEndMs, double dueMs) {
-        line(String.format(Locale.ROOT, "late notice of %s: heard %.0f ms after its end, %.0f ms past its time", id,
-                sinceEndMs, dueMs));
+        line(String.format(Locale.ROOT, "late notice of %s: acknowledged %.0f ms after its end, %.0f ms past its deadline",
+                id, sinceEndMs, dueMs));
     }
 
     private void report(long now) {
         long loop = threads.getCurrentThreadCpuTime();
         StringBuilder text = new StringBuilder();
-        text.append(String.format(Locale.ROOT, "turns %d, longest %.0f ms, latest %.0f ms; loop %.0f ms CPU:", turns,
-                longestNanos / 1e6, latestMs, (loop - loopBefore) / 1e6));
-        cpu.forEach((part, nanos) -> text.append(String.format(Locale.ROOT, " %s %.0f",
+        text.append(String.format(Locale.ROOT, "iterations %d, longest %.0f ms, timers up to %.0f ms late; loop %.0f ms CPU:",
+                iterations, longestNanos / 1e6, maxLateMs, (loop - loopCpuBefore) / 1e6));
+        cpuNanos.forEach((part, nanos) -> text.append(String.format(Locale.ROOT, " %s %.0f",
                 part.name().toLowerCase(Locale.ROOT), nanos / 1e6)));
         text.append("; process:");
         Map<String, Long> process = process();
@@ -124,19 +133,19 @@
                 (nanos - processBefore.getOrDefault(thread, 0L)) / 1e6)));
         line(text.toString());
         processBefore = process;
-        loopBefore = loop;
-        reported = now;
-        turns = 0;
+        loopCpuBefore = loop;
+        reportedNanos = now;
+        iterations = 0;
         longestNanos = 0;
-        latestMs = 0;
-        cpu.clear();
+        maxLateMs = 0;
+        cpuNanos.clear();
     }
 
     private void line(String text) {
-        out.printf(Locale.ROOT, "trace %.2f s %s%n", (System.nanoTime() - begun) / 1e9, text);
+        out.printf(Locale.ROOT, "trace %.2f s %s%n", (System.nanoTime() - startNanos) / 1e9, text);
     }
 
-    /** CPU nanoseconds of this process's threads so far, by name. */
+    /** The CPU time of this process's threads so far, in nanoseconds, by thread name. */
     private static Map<String, Long> process() {
         Map<String, Long> all = new TreeMap<>();
         try (DirectoryStream<Path> tasks = Files.newDirectoryStream(Path.of("/proc/self/task"))) {
@@ -146,7 +155,7 @@
                 all.merge(name, Long.parseLong(spent[0]), Long::sum);
             }
         } catch (IOException | NumberFormatException e) {
-            // A thread that ended meanwhile, or no Linux: the account by part stands without it.
+            // A thread has ended meanwhile, or this is not Linux: the time by part is reported without it.
             return all;
         }
         return all;
--- a/src/test/java/slipfield/trace/TraceTest.java
+++ b/src/test/java/slipfield/trace/TraceTest.java
@@ -22,7 +22,7 @@
         return bytes.toString(StandardCharsets.UTF_8).lines().toList();
     }
 
-    /** Uses up CPU, by what the thread has used, not by how long that took. */
+    /** Uses CPU time until the thread has used this much, in milliseconds, however long that takes. */
     private static void work(long millis) {
         ThreadMXBean threads = ManagementFactory.getThreadMXBean();
         long until = threads.getCurrentThreadCpuTime() + millis * 1_000_000;
@@ -31,14 +31,14 @@
         }
     }
 
-    private static long of(String part, String line) {
+    private static long cpuMs(String part, String line) {
         Matcher found = Pattern.compile(" " + part + " (\\d+)").matcher(line);
         assertTrue(found.find(), line);
         return Long.parseLong(found.group(1));
     }
 
     @Test
-    void whatRunsWithinAnInnerPartIsNotTheOuters() {
+    void timeInAnInnerPartIsNotCountedForTheOuterOne() {
         trace.enter(Trace.Part.READS);
         work(30);
         trace.enter(Trace.Part.JOURNAL);
@@ -51,20 +51,20 @@
             trace.iteration(40_000_000);
             report = lines().stream().findFirst();
         }
-        assertTrue(of("journal", report.get()) >= 300, report.get());
-        assertTrue(of("reads", report.get()) >= 30 && of("reads", report.get()) < 300, report.get());
-        assertTrue(report.get().contains("longest 40 ms, latest 12 ms"), report.get());
+        assertTrue(cpuMs("journal", report.get()) >= 300, report.get());
+        assertTrue(cpuMs("reads", report.get()) >= 30 && cpuMs("reads", report.get()) < 300, report.get());
+        assertTrue(report.get().contains("longest 40 ms, timers up to 12 ms late"), report.get());
     }
 
     @Test
-    void aLateEndSaysWhereItsTimeWent() {
+    void lateEndsAndNoticesReportWhereTheTimeWent() {
         trace.lateEnd("o-1", 9000, 400, 2, 5200, 3100, "in service");
         trace.lateNotice("o-1", 80, 480);
         assertEquals(2, lines().size());
         assertTrue(lines().get(0).endsWith(
-                "late end of o-1: held 9000 ms, 400 ms past its end; 5200 ms before the first of 2 attempts, 3100 ms "
-                        + "since the last; in service"), lines().get(0));
-        assertTrue(lines().get(1).endsWith("late notice of o-1: heard 80 ms after its end, 480 ms past its time"),
+                "late end of o-1: pending for 9000 ms, 400 ms past its deadline; 5200 ms before the first of 2 attempts, "
+                        + "3100 ms since the last; in service"), lines().get(0));
+        assertTrue(lines().get(1).endsWith("late notice of o-1: acknowledged 80 ms after its end, 480 ms past its deadline"),
                 lines().get(1));
     }
 }
