--- a/src/main/java/slipfield/outcome/PlatformNotices.java
+++ b/src/main/java/slipfield/outcome/PlatformNotices.java
@@ -26,120 +26,120 @@
 import slipfield.log.Log;
 
 /**
- * Notices to the platform of messages that ended undelivered, each sent again until it was heard. Hearing one
- * twice does no harm; one that is not heard is a lost message. What a turn has ended is written by {@link
- * #flush}, before that turn's calls, in one batch; while that is out the next goes over another connection, so
- * that none waits for the answer to those before it. Guards against a loop that is late: each answer takes it
- * another round.
+ * Notifies the platform of messages that ended undelivered; each notice is sent again until it is acknowledged. A duplicate
+ * notice is harmless, but a message whose notice never arrives is lost. The notices of an event-loop iteration are sent by
+ * {@link #flush} in one batch, before the calls of that iteration. While a batch is unanswered, the next one uses another
+ * connection, so that no notice waits for the answer to an earlier one: on a loop that is late, each answer takes another
+ * iteration.
  */
 public final class PlatformNotices implements AnswerChannel {
-    private static final int MOST_IN_BATCH = 1000;
-    /** A body holds 64 KiB at most. */
-    private static final int LONGEST_BATCH = 60_000;
-    private static final int MOST_LANES = 4;
-    private static final long LIMIT_MS = 500;
-    private static final long PAUSE_MS = 50;
+    private static final int MAX_IN_BATCH = 1000;
+    /** Less than the 64 KiB to which a body is limited. */
+    private static final int MAX_BATCH_CHARS = 60_000;
+    private static final int MAX_CONNECTIONS = 4;
+    private static final long TIMEOUT_MS = 500;
+    private static final long RETRY_PAUSE_MS = 50;
 
     private final EventLoop loop;
     private Supplier<Agent> agents;
-    private final Consumer<Owed> heard;
+    private final Consumer<Owed> acknowledged;
     private final ObjectMapper json = JsonMapper.builder().build();
-    /** What is in no batch that is out. */
-    private final Deque<Owed> owed = new ArrayDeque<>();
-    private final List<Lane> lanes = new ArrayList<>();
-    private int most = MOST_IN_BATCH;
+    /** Notices that are in no unanswered batch. */
+    private final Deque<Owed> queue = new ArrayDeque<>();
+    private final List<Connection> connections = new ArrayList<>();
+    private int maxInBatch = MAX_IN_BATCH;
 
-    /** A connection, and whether it can take a batch. */
-    private static final class Lane {
+    /** A connection with its unanswered batch, and whether it pauses after a failure. */
+    private static final class Connection {
         private final Agent agent;
         private List<Owed> batch = List.of();
-        private boolean rests;
+        private boolean paused;
 
-        Lane(Agent agent) {
+        Connection(Agent agent) {
             this.agent = agent;
         }
     }
 
-    public PlatformNotices(EventLoop loop, Supplier<Agent> agents, Consumer<Owed> heard) {
+    public PlatformNotices(EventLoop loop, Supplier<Agent> agents, Consumer<Owed> acknowledged) {
         this.loop = loop;
         this.agents = agents;
-        this.heard = heard;
+        this.acknowledged = acknowledged;
     }
 
     @Override
     public void enqueue(Owed answer) {
-        owed.add(answer);
+        queue.add(answer);
     }
 
-    /** Sends what is owed, as far as there is a connection without a batch. */
+    /** Sends pending notices while there is a connection without an unanswered batch. */
     @Override
     public void flush() {
-        while (!owed.isEmpty()) {
-            Lane lane = freeLane();
-            if (lane == null) {
+        while (!queue.isEmpty()) {
+            Connection connection = freeConnection();
+            if (connection == null) {
                 return;
             }
-            post(lane);
+            send(connection);
         }
     }
 
-    private Lane freeLane() {
-        for (Lane lane : lanes) {
-            if (lane.batch.isEmpty() && !lane.rests) {
-                return lane;
+    private Connection freeConnection() {
+        for (Connection connection : connections) {
+            if (connection.batch.isEmpty() && !connection.paused) {
+                return connection;
             }
         }
-        if (lanes.size() == MOST_LANES) {
+        if (connections.size() == MAX_CONNECTIONS) {
             return null;
         }
-        Lane fresh = new Lane(agents.get());
-        lanes.add(fresh);
-        return fresh;
+        Connection added = new Connection(agents.get());
+        connections.add(added);
+        return added;
     }
 
-    /** Tells another agent from now on, at once, also what the old one was told and has not answered. */
-    public void switchAgent(Supplier<Agent> others) {
-        agents = others;
-        for (Lane lane : lanes) {
-            lane.agent.close();
-            takeBack(lane);
+    /** Sends notices to another agent from now on, also those that the old one has not acknowledged. */
+    public void switchAgent(Supplier<Agent> newAgents) {
+        agents = newAgents;
+        for (Connection connection : connections) {
+            connection.agent.close();
+            requeue(connection);
         }
-        lanes.clear();
+        connections.clear();
         flush();
     }
 
-    private void takeBack(Lane lane) {
-        for (int i = lane.batch.size() - 1; i >= 0; i--) {
-            owed.addFirst(lane.batch.get(i));
+    private void requeue(Connection connection) {
+        for (int i = connection.batch.size() - 1; i >= 0; i--) {
+            queue.addFirst(connection.batch.get(i));
         }
-        lane.batch = List.of();
+        connection.batch = List.of();
     }
 
     @Override
     public int pendingCount() {
-        int out = 0;
-        for (Lane lane : lanes) {
-            out += lane.batch.size();
+        int unanswered = 0;
+        for (Connection connection : connections) {
+            unanswered += connection.batch.size();
         }
-        return owed.size() + out;
+        return queue.size() + unanswered;
     }
 
-    private void post(Lane lane) {
+    private void send(Connection connection) {
         List<Owed> batch = new ArrayList<>();
         StringBuilder lines = new StringBuilder();
-        while (!owed.isEmpty() && batch.size() < most) {
-            String line = line(owed.peek());
-            if (lines.length() + line.length() > LONGEST_BATCH) {
+        while (!queue.isEmpty() && batch.size() < maxInBatch) {
+            String line = line(queue.peek());
+            if (lines.length() + line.length() > MAX_BATCH_CHARS) {
                 break;
             }
-            batch.add(owed.remove());
+            batch.add(queue.remove());
             lines.append(line).append('\n');
         }
-        lane.batch = batch;
+        connection.batch = batch;
         DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST,
                 "/reports", Unpooled.copiedBuffer(lines, StandardCharsets.UTF_8));
         request.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/x-ndjson");
-        lane.agent.ask(request, LIMIT_MS, answer -> answered(lane, answer));
+        connection.agent.ask(request, TIMEOUT_MS, answer -> answered(connection, answer));
     }
 
     private String line(Owed answer) {
@@ -155,27 +155,27 @@
         return line.toString();
     }
 
-    private void answered(Lane lane, Optional<FullHttpResponse> answer) {
+    private void answered(Connection connection, Optional<FullHttpResponse> answer) {
         int status = answer.map(a -> a.status().code()).orElse(0);
         if (status == 204) {
-            List<Owed> told = lane.batch;
-            lane.batch = List.of();
-            most = MOST_IN_BATCH;
-            told.forEach(heard);
+            List<Owed> sent = connection.batch;
+            connection.batch = List.of();
+            maxInBatch = MAX_IN_BATCH;
+            sent.forEach(acknowledged);
             flush();
             return;
         }
-        takeBack(lane);
+        requeue(connection);
         if (status == 400) {
-            // One that can't be read must not hold up the rest: they go one by one, and it goes last.
+            // An unreadable notice must not block the newAgents: they are sent one by one, and the first one last.
             Log.warn("notices.refused", "status", 400);
-            most = 1;
-            owed.addLast(owed.removeFirst());
+            maxInBatch = 1;
+            queue.addLast(queue.removeFirst());
         }
-        lane.rests = true;
+        connection.paused = true;
         loop.schedule(() -> {
-            lane.rests = false;
+            connection.paused = false;
             flush();
-        }, PAUSE_MS, TimeUnit.MILLISECONDS);
+        }, RETRY_PAUSE_MS, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/slipfield/outcome/ends/ClientAnswers.java
+++ b/src/main/java/slipfield/outcome/ends/ClientAnswers.java
@@ -22,48 +22,50 @@
 import slipfield.log.LoggedTask;
 
 /**
- * Ends for clients that follow them. Each is told until its cursor came back; a cursor is of one life of the sender, and in
- * the next one all that was not heard is told again, in the journal's order: an end that is told twice does no harm.
+ * Final answers for clients that poll for them. An answer is sent until its client returns the answer's cursor. Cursors are
+ * valid for one process: after a restart all answers that are not acknowledged are sent again, in the journal's order. A
+ * duplicate answer is harmless.
  */
 public final class ClientAnswers implements AnswerChannel, AnswerPolling {
-    /** The outcome's name in claims. */
+    /** The channel's name in the recipients of messages. */
     public static final String NAME = "ends";
-    /** What an end costs besides its body, in bytes. */
-    private static final int OVERHEAD = 300;
-    private static final int LONGEST_ANSWER = 48 * 1024;
-    private static final long MOST_WAIT_MS = 30_000;
+    /** The size of an answer without its body and id, in bytes. */
+    private static final int BYTES_PER_ANSWER = 300;
+    /** Once a response is longer than this, it gets no further answer. */
+    private static final int MAX_RESPONSE_CHARS = 48 * 1024;
+    private static final long MAX_WAIT_MS = 30_000;
     private static final long SWEEP_MS = 1000;
 
     private final EventLoop loop;
-    private final ClientsConfig.Retention keep;
-    private final Consumer<Owed> heard;
+    private final ClientsConfig.Retention retention;
+    private final Consumer<Owed> acknowledged;
     private final String epoch;
     private final JsonMapper json = JsonMapper.builder().build();
     private final Map<String, Peer> peers = new HashMap<>();
-    /** All that are not heard yet, the oldest first, by their place in this life. */
+    /** Answers that are not acknowledged yet, the oldest first, by position: a counter that starts at 1 in each process. */
     private final Map<Long, Entry> all = new LinkedHashMap<>();
-    private long next = 1;
+    private long nextPosition = 1;
     private long bytes;
     private boolean released;
 
-    private record Entry(long place, Owed owed, long sinceNanos) {
+    private record Entry(long position, Owed answer, long sinceNanos) {
         private long size() {
-            return OVERHEAD + owed.held().body.length + owed.held().id.length();
+            return BYTES_PER_ANSWER + answer.held().body.length + answer.held().id.length();
         }
     }
 
-    /** A client. */
+    /** A client with its answers and its waiting poll, if any. */
     private static final class Peer {
         private final Deque<Entry> entries = new ArrayDeque<>();
-        private Waiting waiting;
+        private WaitingPoll waiting;
     }
 
-    private final class Waiting implements Poll {
+    private final class WaitingPoll implements Poll {
         private final String peer;
         private final Consumer<String> then;
         private Future<?> timer;
 
-        private Waiting(String peer, Consumer<String> then) {
+        private WaitingPoll(String peer, Consumer<String> then) {
             this.peer = peer;
             this.then = then;
         }
@@ -75,10 +77,10 @@
 
         @Override
         public void cancel() {
-            Peer of = peers.get(peer);
-            if (of != null && of.waiting == this) {
-                of.waiting = null;
-                forget(peer, of);
+            Peer client = peers.get(peer);
+            if (client != null && client.waiting == this) {
+                client.waiting = null;
+                removeIfIdle(peer, client);
             }
             if (timer != null) {
                 timer.cancel(false);
@@ -87,16 +89,16 @@
     }
 
     /**
-     * Keeps ends as it is told, on the core's loop.
+     * Creates the channel, which is used on the core's event loop.
      *
-     * @param epoch another in each life
-     * @param heard is told of each that needs not be kept any more
+     * @param epoch a text that differs for each process; cursors begin with it
+     * @param acknowledged called for each answer that need not be retained any more
      */
-    public ClientAnswers(EventLoop loop, ClientsConfig.Retention keep, String epoch, Consumer<Owed> heard) {
+    public ClientAnswers(EventLoop loop, ClientsConfig.Retention retention, String epoch, Consumer<Owed> acknowledged) {
         this.loop = loop;
-        this.keep = keep;
+        this.retention = retention;
         this.epoch = epoch;
-        this.heard = heard;
+        this.acknowledged = acknowledged;
         loop.scheduleWithFixedDelay(LoggedTask.of("ends.sweep", this::sweep), SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
     }
 
@@ -107,22 +109,22 @@
 
     @Override
     public void enqueue(Owed answer) {
-        Entry entry = new Entry(next++, answer, System.nanoTime());
-        all.put(entry.place, entry);
+        Entry entry = new Entry(nextPosition++, answer, System.nanoTime());
+        all.put(entry.position, entry);
         bytes += entry.size();
         peers.computeIfAbsent(answer.claim().peer(), p -> new Peer()).entries.addLast(entry);
         int dropped = 0;
-        while (all.size() > keep.maxAnswers() || bytes > keep.maxBytes() && all.size() > 1) {
+        while (all.size() > retention.maxAnswers() || bytes > retention.maxBytes() && all.size() > 1) {
             drop(all.values().iterator().next());
             dropped++;
         }
-        told(dropped, "too many");
+        logDropped(dropped, "too many");
     }
 
-    /** Those who wait hear what their turn has ended, in one answer. */
+    /** Answers the waiting polls that this event-loop iteration has brought answers for, each with one response. */
     @Override
     public void flush() {
-        List<Waiting> due = new ArrayList<>();
+        List<WaitingPoll> due = new ArrayList<>();
         for (Peer peer : peers.values()) {
             if (peer.waiting != null && !peer.entries.isEmpty()) {
                 due.add(peer.waiting);
@@ -131,7 +133,7 @@
         due.forEach(w -> w.answer(lines(peers.get(w.peer))));
     }
 
-    /** Ends are kept in the journal: a sender that ends waits for nobody to hear them but who listens now. */
+    /** Always 0: unacknowledged answers stay in the journal, so a shutdown does not wait for them. */
     @Override
     public int pendingCount() {
         return 0;
@@ -142,19 +144,19 @@
         Peer peer = peers.computeIfAbsent(name, n -> new Peer());
         acknowledge(peer, after);
         if (peer.waiting != null) {
-            // One client asks once at a time: the connection of the earlier question is mostly dead.
+            // A client polls once at a time, so the connection of its earlier poll is probably dead.
             peer.waiting.answer("");
             peer = peers.computeIfAbsent(name, n -> new Peer());
         }
-        Waiting waiting = new Waiting(name, then);
+        WaitingPoll waiting = new WaitingPoll(name, then);
         if (!peer.entries.isEmpty() || released || waitMs <= 0) {
             String lines = lines(peer);
-            forget(name, peer);
+            removeIfIdle(name, peer);
             then.accept(lines);
             return waiting;
         }
         peer.waiting = waiting;
-        waiting.timer = loop.schedule(() -> waiting.answer(""), Math.min(MOST_WAIT_MS, waitMs), TimeUnit.MILLISECONDS);
+        waiting.timer = loop.schedule(() -> waiting.answer(""), Math.min(MAX_WAIT_MS, waitMs), TimeUnit.MILLISECONDS);
         return waiting;
     }
 
@@ -165,23 +167,23 @@
         long upTo;
         try {
             upTo = Long.parseLong(after.substring(epoch.length() + 1));
-        } catch (NumberFormatException notOurs) {
+        } catch (NumberFormatException unknownCursor) {
             return;
         }
-        while (!peer.entries.isEmpty() && peer.entries.peekFirst().place <= upTo) {
+        while (!peer.entries.isEmpty() && peer.entries.peekFirst().position <= upTo) {
             Entry entry = peer.entries.removeFirst();
-            all.remove(entry.place);
+            all.remove(entry.position);
             bytes -= entry.size();
-            heard.accept(entry.owed);
+            acknowledged.accept(entry.answer);
         }
     }
 
     private String lines(Peer peer) {
         StringBuilder lines = new StringBuilder();
         for (Entry entry : peer.entries) {
-            Held held = entry.owed.held();
+            Held held = entry.answer.held();
             Held.Notice notice = held.owed.orElseThrow();
-            ObjectNode line = json.createObjectNode().put("cursor", epoch + "-" + entry.place).put("ref", held.id)
+            ObjectNode line = json.createObjectNode().put("cursor", epoch + "-" + entry.position).put("ref", held.id)
                     .put("end", switch (notice.end()) {
                         case DELIVERED -> "delivered";
                         case REFUSED -> "refused";
@@ -190,7 +192,7 @@
             if (notice.waitMs() > 0) {
                 line.put("wait_ms", Math.round(notice.waitMs()));
             }
-            if (lines.length() > LONGEST_ANSWER) {
+            if (lines.length() > MAX_RESPONSE_CHARS) {
                 break;
             }
             lines.append(line).append('\n');
@@ -199,16 +201,16 @@
     }
 
     private void drop(Entry entry) {
-        all.remove(entry.place);
+        all.remove(entry.position);
         bytes -= entry.size();
-        String name = entry.owed.claim().peer();
+        String name = entry.answer.claim().peer();
         Peer peer = peers.get(name);
         peer.entries.remove(entry);
-        forget(name, peer);
-        heard.accept(entry.owed);
+        removeIfIdle(name, peer);
+        acknowledged.accept(entry.answer);
     }
 
-    private void forget(String name, Peer peer) {
+    private void removeIfIdle(String name, Peer peer) {
         if (peer.entries.isEmpty() && peer.waiting == null) {
             peers.remove(name, peer);
         }
@@ -219,16 +221,16 @@
         int dropped = 0;
         while (!all.isEmpty()) {
             Entry oldest = all.values().iterator().next();
-            if (now - oldest.sinceNanos < TimeUnit.MILLISECONDS.toNanos(keep.keepMs())) {
+            if (now - oldest.sinceNanos < TimeUnit.MILLISECONDS.toNanos(retention.keepMs())) {
                 break;
             }
             drop(oldest);
             dropped++;
         }
-        told(dropped, "too old");
+        logDropped(dropped, "too old");
     }
 
-    private static void told(int dropped, String why) {
+    private static void logDropped(int dropped, String why) {
         if (dropped > 0) {
             Log.warn("ends.dropped", "ends", dropped, "cause", why);
         }
@@ -244,7 +246,7 @@
         });
     }
 
-    /** Ends that were not heard yet. */
+    /** The number of answers that are not acknowledged yet. */
     public int retainedCount() {
         return all.size();
     }
--- a/src/main/java/slipfield/outcome/ends/package-info.java
+++ b/src/main/java/slipfield/outcome/ends/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Final answers to clients that follow them over HTTP: kept until heard, bounded by time, number and size. May use {@code
- * core}, {@code journal}, {@code config}, {@code settings} and {@code log}. Off unless an operator's file sets it up.
+ * Final answers for clients that poll for them over HTTP: retained until acknowledged, up to limits of time, number and size.
+ * May use {@code core}, {@code journal}, {@code config}, {@code settings} and {@code log}. Off unless an operator's file
+ * enables it.
  */
 package slipfield.outcome.ends;
--- a/src/main/java/slipfield/outcome/package-info.java
+++ b/src/main/java/slipfield/outcome/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Where final answers go: the platform's notices. May use {@code core}, {@code journal}, {@code agent}.
+ * The channel for notices to the platform of messages that ended undelivered. May use {@code core}, {@code journal} and {@code
+ * agent}.
  */
 package slipfield.outcome;
