--- a/src/test/java/slipfield/core/EndpointCatalogueTest.java
+++ b/src/test/java/slipfield/core/EndpointCatalogueTest.java
@@ -23,34 +23,34 @@
     }
 
     @Test
-    void oneDirectorysWordStandsAsItIs() {
-        List<Directory.Entry> told = List.of(entry("s-1", false));
-        EndpointCatalogue.Change change = new EndpointCatalogue(List.of("platform")).update("platform", true, told);
+    void theReportOfASingleDirectoryIsPassedOnUnchanged() {
+        List<Directory.Entry> reported = List.of(entry("s-1", false));
+        EndpointCatalogue.Change change = new EndpointCatalogue(List.of("platform")).update("platform", true, reported);
         assertTrue(change.complete());
-        assertSame(told, change.entries());
+        assertSame(reported, change.entries());
     }
 
     @Test
-    void aWholeListOfOneLeavesTheOthersStanding() {
-        EndpointCatalogue all = new EndpointCatalogue(List.of("platform", "consul"));
-        all.update("platform", true, List.of(entry("s-1", false), entry("s-2", false)));
+    void aCompleteListReplacesOnlyItsOwnDirectorysEndpoints() {
+        EndpointCatalogue catalogue = new EndpointCatalogue(List.of("platform", "consul"));
+        catalogue.update("platform", true, List.of(entry("s-1", false), entry("s-2", false)));
         assertEquals(Set.of("s-1", "s-2", "consul/s-1"),
-                ids(all.update("consul", true, List.of(entry("s-1", false)))));
-        // The one that lives on says whole lists; the dead one's last word stands.
+                ids(catalogue.update("consul", true, List.of(entry("s-1", false)))));
+        // One directory sends complete lists; the last list of the other one, which has failed, stays.
         assertEquals(Set.of("s-1", "s-2", "consul/s-9"),
-                ids(all.update("consul", true, List.of(entry("s-9", false)))));
+                ids(catalogue.update("consul", true, List.of(entry("s-9", false)))));
     }
 
     @Test
-    void aChangeIsToldAloneAndRemembered() {
-        EndpointCatalogue all = new EndpointCatalogue(List.of("platform", "consul"));
-        all.update("platform", true, List.of(entry("s-1", false)));
-        EndpointCatalogue.Change change = all.update("consul", false, List.of(entry("c-1", false)));
+    void aChangeIsReportedAloneAndRemembered() {
+        EndpointCatalogue catalogue = new EndpointCatalogue(List.of("platform", "consul"));
+        catalogue.update("platform", true, List.of(entry("s-1", false)));
+        EndpointCatalogue.Change change = catalogue.update("consul", false, List.of(entry("c-1", false)));
         assertFalse(change.complete());
         assertEquals(Set.of("consul/c-1"), ids(change));
-        EndpointCatalogue.Change gone = all.update("platform", false, List.of(entry("s-1", true)));
+        EndpointCatalogue.Change gone = catalogue.update("platform", false, List.of(entry("s-1", true)));
         assertEquals(Set.of("s-1"), ids(gone));
         assertTrue(gone.entries().get(0).gone());
-        assertEquals(Set.of("consul/c-1", "s-3"), ids(all.update("platform", true, List.of(entry("s-3", false)))));
+        assertEquals(Set.of("consul/c-1", "s-3"), ids(catalogue.update("platform", true, List.of(entry("s-3", false)))));
     }
 }
--- a/src/test/java/slipfield/core/RecoveryTest.java
+++ b/src/test/java/slipfield/core/RecoveryTest.java
@@ -18,10 +18,10 @@
 
 class RecoveryTest {
     private static final long NOW_MS = 1_000_000;
-    private static final int MANY = 200;
+    private static final int MESSAGES = 200;
 
     private final EventLoop loop = new DefaultEventLoop();
-    private final List<Long> takenUp = new CopyOnWriteArrayList<>();
+    private final List<Long> restored = new CopyOnWriteArrayList<>();
     private final CountDownLatch done = new CountDownLatch(1);
 
     @AfterEach
@@ -29,22 +29,22 @@
         loop.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    /** Every third message meets a fault in whoever takes it up. */
-    private final class Faulty implements Recovery.Steps {
+    /** Throws an exception for every third message. */
+    private final class FailingSteps implements Recovery.Steps {
         @Override
         public void sendAnswer(Held held) {
-            takeUp(held);
+            restore(held);
         }
 
         @Override
         public void resume(Held held, long leftMs) {
-            takeUp(held);
+            restore(held);
         }
 
-        private void takeUp(Held held) {
-            takenUp.add(held.number);
+        private void restore(Held held) {
+            restored.add(held.number);
             if (held.number % 3 == 0) {
-                throw new IllegalStateException("a fault over message " + held.number);
+                throw new IllegalStateException("a failure at message " + held.number);
             }
         }
 
@@ -58,20 +58,20 @@
         }
     }
 
-    /** Guards against a fault over one message after which a restart takes up nothing more, and is never ready. */
+    /** Guards against a recovery that stops at a message whose restoration fails, after which the sender is never ready. */
     @Test
-    void aFaultOverOneMessageDoesNotEndARecovery() throws Exception {
+    void aFailureAtOneMessageDoesNotStopTheRecovery() throws Exception {
         List<Held> held = new ArrayList<>();
-        for (long number = 0; number < MANY; number++) {
+        for (long number = 0; number < MESSAGES; number++) {
             held.add(new Held(number, "id-" + number, "once", "desk", Optional.empty(), 7, NOW_MS + (number % 2 == 0 ? -1 : 9000),
                     new byte[0], Claim.PLATFORM));
         }
         loop.submit(() -> {
-            Recovery recovery = new Recovery(loop, () -> NOW_MS, held, message -> false, new Faulty());
+            Recovery recovery = new Recovery(loop, () -> NOW_MS, held, message -> false, new FailingSteps());
             recovery.start();
             recovery.listAvailable(true);
         }).syncUninterruptibly();
-        assertTrue(done.await(30, TimeUnit.SECONDS), "taken up: " + takenUp.size());
-        assertEquals(MANY, takenUp.size());
+        assertTrue(done.await(30, TimeUnit.SECONDS), "restored: " + restored.size());
+        assertEquals(MESSAGES, restored.size());
     }
 }
--- a/src/test/java/slipfield/core/SenderPortsTest.java
+++ b/src/test/java/slipfield/core/SenderPortsTest.java
@@ -36,42 +36,42 @@
 import slipfield.standin.Stub;
 import slipfield.trace.Trace;
 
-/** The core among parts in memory: what its ports promise to fronts, transports, directories and outcomes. */
+/** Tests what the ports of the core guarantee to frontends, transports, directories and answer channels, all of them in memory. */
 class SenderPortsTest {
-    private static final Claim ASKS = new Claim("queue", "desk-1", true, true);
-    private static final long WAIT_MS = 600;
-    private static final long LONG_TURN_MS = 60;
-    private static final Claim DROPS = new Claim("queue", "desk-2", true, false);
+    private static final Claim KEPT = new Claim("queue", "desk-1", true, true);
+    private static final long DELAY_MS = 600;
+    private static final long LONG_ITERATION_MS = 60;
+    private static final Claim DROPPED = new Claim("queue", "desk-2", true, false);
 
     @TempDir
     Path folder;
     private final World world = new World();
     private Sender sender;
 
-    /** Every port, in memory. What is out stays out until the test ends it. */
+    /** Implements every port in memory. An attempt stays in progress until the test ends it. */
     private final class World implements SenderComponents {
-        private final List<Out> out = new CopyOnWriteArrayList<>();
-        private final List<String> told = new CopyOnWriteArrayList<>();
+        private final List<RunningAttempt> running = new CopyOnWriteArrayList<>();
+        private final List<String> sent = new CopyOnWriteArrayList<>();
         private final Map<String, Directory.EndpointListener> directories = new HashMap<>();
         private final Map<Long, InetSocketAddress> serving = new HashMap<>();
-        /** Outcomes that answer; others keep what they are owed. */
-        private final List<String> hearing = new CopyOnWriteArrayList<>(List.of("platform", "queue"));
+        /** Answer channels that acknowledge at once; the others keep their answers. */
+        private final List<String> acknowledging = new CopyOnWriteArrayList<>(List.of("platform", "queue"));
         private List<String> names = List.of("platform");
-        private final List<Frontend> fronts = new ArrayList<>();
-        private Transport.AttemptListener ends;
-        private MessageIntake desk;
+        private final List<Frontend> frontends = new ArrayList<>();
+        private Transport.AttemptListener listener;
+        private MessageIntake intake;
 
-        private record Out(Held message, int number, long startedNanos, Transport.AttemptListener ends)
+        private record RunningAttempt(Held message, int number, long startedNanos, Transport.AttemptListener listener)
                 implements Transport.Attempt {
             @Override
             public void cancel() {
-                ends.ended(this, Relay.Outcome.CANCELLED, false, 0, Relay.Told.NOTHING);
+                listener.ended(this, Relay.Outcome.CANCELLED, false, 0, Relay.Told.NOTHING);
             }
         }
 
         @Override
-        public Transport transport(EventLoop loop, Transport.AttemptListener told) {
-            ends = told;
+        public Transport transport(EventLoop loop, Transport.AttemptListener attempts) {
+            listener = attempts;
             return new Transport() {
                 @Override
                 public void start() {
@@ -94,8 +94,8 @@
 
                 @Override
                 public Attempt attempt(Held held, int number, long endpoint, Relay.Within within, long decidedNanos) {
-                    Out attempt = new Out(held, number, System.nanoTime(), ends);
-                    out.add(attempt);
+                    RunningAttempt attempt = new RunningAttempt(held, number, System.nanoTime(), listener);
+                    running.add(attempt);
                     return attempt;
                 }
 
@@ -106,7 +106,7 @@
         }
 
         @Override
-        public Map<String, AnswerChannel> answerChannels(EventLoop loop, Consumer<Owed> heard) {
+        public Map<String, AnswerChannel> answerChannels(EventLoop loop, Consumer<Owed> acknowledged) {
             Map<String, AnswerChannel> all = new LinkedHashMap<>();
             for (String name : List.of("platform", "queue")) {
                 all.put(name, new AnswerChannel() {
@@ -114,13 +114,13 @@
 
                     @Override
                     public void enqueue(Owed answer) {
-                        if (!hearing.contains(name)) {
+                        if (!acknowledging.contains(name)) {
                             kept++;
                             return;
                         }
-                        told.add(answer.held().id + " " + name + answer.claim().peer() + " "
+                        sent.add(answer.held().id + " " + name + answer.claim().peer() + " "
                                 + answer.held().owed.orElseThrow().end());
-                        heard.accept(answer);
+                        acknowledged.accept(answer);
                     }
 
                     @Override
@@ -158,8 +158,8 @@
 
         @Override
         public List<Frontend> frontends(EventLoop loop, MessageIntake core) {
-            desk = core;
-            return fronts;
+            intake = core;
+            return frontends;
         }
 
         @Override
@@ -167,7 +167,7 @@
         }
 
         @Override
-        public void warmUp(EventLoop loop, long mostMs, Runnable then) {
+        public void warmUp(EventLoop loop, long maxMs, Runnable then) {
             then.run();
         }
     }
@@ -195,7 +195,7 @@
                 folder.resolve("state").toString()));
         sender = new Sender(config, world, 100, 1000, LifeClock.system());
         sender.start();
-        Stub.await("it is ready", () -> on(() -> world.desk.ready()));
+        Stub.await("the sender is ready", () -> onLoop(() -> world.intake.ready()));
     }
 
     @AfterEach
@@ -205,84 +205,84 @@
 
     private void restart() throws Exception {
         sender.kill();
-        world.out.clear();
+        world.running.clear();
         start();
     }
 
-    private <T> T on(Supplier<T> asked) {
-        return sender.loop().inEventLoop() ? asked.get() : sender.loop().submit(asked::get).syncUninterruptibly().getNow();
+    private <T> T onLoop(Supplier<T> action) {
+        return sender.loop().inEventLoop() ? action.get() : sender.loop().submit(action::get).syncUninterruptibly().getNow();
     }
 
-    /** A front's way to hand in: what is known of the id first, then the message itself. */
-    private String handIn(String id, String type, Claim claim) {
-        return on(() -> {
-            Optional<MessageIntake.DuplicateState> known = world.desk.checkDuplicate(id, claim);
-            if (known.isPresent()) {
-                return known.get().name();
+    /** Submits a message as a frontend does: checks its id for a duplicate first. */
+    private String submit(String id, String type, Claim claim) {
+        return onLoop(() -> {
+            Optional<MessageIntake.DuplicateState> duplicate = world.intake.checkDuplicate(id, claim);
+            if (duplicate.isPresent()) {
+                return duplicate.get().name();
             }
-            MessageIntake.SubmissionResult taking = world.desk.submit(new MessageIntake.Submission(id, type, "acme",
+            MessageIntake.SubmissionResult result = world.intake.submit(new MessageIntake.Submission(id, type, "acme",
                     Optional.empty(), 7, 20_000, new byte[] {1}, List.of(claim)));
-            taking.message().ifPresent(held -> world.desk.acceptanceReported(held, world.desk.writeAccepted()));
-            return taking.message().isPresent() ? "taken" : taking.reason();
+            result.message().ifPresent(held -> world.intake.acceptanceReported(held, world.intake.writeAccepted()));
+            return result.message().isPresent() ? "accepted" : result.reason();
         });
     }
 
     private void end(Relay.Outcome outcome) throws Exception {
-        Stub.await("an attempt", () -> !world.out.isEmpty());
-        World.Out attempt = world.out.remove(0);
-        on(() -> {
-            attempt.ends().ended(attempt, outcome, false, 0, Relay.Told.NOTHING);
+        Stub.await("an attempt", () -> !world.running.isEmpty());
+        World.RunningAttempt attempt = world.running.remove(0);
+        onLoop(() -> {
+            attempt.listener().ended(attempt, outcome, false, 0, Relay.Told.NOTHING);
             return null;
         });
     }
 
-    private void awaitTold(String... lines) throws Exception {
-        Stub.await(List.of(lines) + " of " + world.told, () -> world.told.size() >= lines.length);
-        // What is told twice would come in the same turn, which is over by the time that the loop answers.
-        on(() -> null);
-        assertEquals(new ArrayList<>(List.of(lines)), new ArrayList<>(world.told));
+    private void awaitAnswers(String... lines) throws Exception {
+        Stub.await(List.of(lines) + " of " + world.sent, () -> world.sent.size() >= lines.length);
+        // A duplicate answer would be sent in the same iteration, which has ended when the loop runs this task.
+        onLoop(() -> null);
+        assertEquals(new ArrayList<>(List.of(lines)), new ArrayList<>(world.sent));
     }
 
     @Test
-    void whoAsksIsToldOfADeliveryOnceAndThePlatformIsNot() throws Exception {
-        assertEquals("taken", handIn("one", "order", ASKS));
-        assertEquals("taken", handIn("two", "order", Claim.PLATFORM));
+    void aDeliveryIsReportedOnceToARecipientThatAskedForItAndNotToThePlatform() throws Exception {
+        assertEquals("accepted", submit("one", "order", KEPT));
+        assertEquals("accepted", submit("two", "order", Claim.PLATFORM));
         end(Relay.Outcome.DELIVERED);
         end(Relay.Outcome.DELIVERED);
-        awaitTold("one queuedesk-1 DELIVERED");
+        awaitAnswers("one queuedesk-1 DELIVERED");
         restart();
-        assertEquals(1, world.told.size());
-        assertEquals("DELIVERED", handIn("one", "order", ASKS));
+        assertEquals(1, world.sent.size());
+        assertEquals("DELIVERED", submit("one", "order", KEPT));
     }
 
     /**
-     * Guards against a call that is written into a told wait: its turn took long, and the answer that tells the wait lay unread
-     * between the decision and the write.
+     * Guards against a call that is written during a requested delay: the iteration that decided it took long, and the answer
+     * that requests the delay was unread between the decision and the write.
      */
     @Test
-    void aWaitThatIsToldDuringALongTurnHoldsForWhatThatTurnDecided() throws Exception {
-        assertEquals("taken", handIn("refused", "order", Claim.PLATFORM));
-        Stub.await("its attempt", () -> world.out.size() == 1);
-        World.Out refused = world.out.remove(0);
-        AtomicLong toldNanos = new AtomicLong();
-        on(() -> {
-            // Comes with the sockets' next turn, as what lies unread in one of them.
+    void aDelayRequestedDuringALongIterationHoldsForTheCallsItDecided() throws Exception {
+        assertEquals("accepted", submit("refused", "order", Claim.PLATFORM));
+        Stub.await("its attempt", () -> world.running.size() == 1);
+        World.RunningAttempt refused = world.running.remove(0);
+        AtomicLong requestedNanos = new AtomicLong();
+        onLoop(() -> {
+            // Runs when the loop polls its sockets next, as the answer would that is unread in one of them.
             sender.loop().schedule(() -> {
-                toldNanos.set(System.nanoTime());
-                refused.ends().ended(refused, Relay.Outcome.FULL, false, WAIT_MS, Relay.Told.NOTHING);
+                requestedNanos.set(System.nanoTime());
+                refused.listener().ended(refused, Relay.Outcome.FULL, false, DELAY_MS, Relay.Told.NOTHING);
             }, 0, TimeUnit.MILLISECONDS);
-            String taken = handIn("decided", "order", Claim.PLATFORM);
-            LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(LONG_TURN_MS));
-            return taken;
+            String result = submit("decided", "order", Claim.PLATFORM);
+            LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(LONG_ITERATION_MS));
+            return result;
         });
-        Stub.await("an attempt after the wait", () -> !world.out.isEmpty());
-        long afterMs = TimeUnit.NANOSECONDS.toMillis(world.out.get(0).startedNanos() - toldNanos.get());
-        assertTrue(afterMs >= WAIT_MS - 1, "an attempt began " + afterMs + " ms after the wait was told");
+        Stub.await("an attempt after the requested delay", () -> !world.running.isEmpty());
+        long afterMs = TimeUnit.NANOSECONDS.toMillis(world.running.get(0).startedNanos() - requestedNanos.get());
+        assertTrue(afterMs >= DELAY_MS - 1, "an attempt began " + afterMs + " ms after the delay was requested");
     }
 
-    /** One connection, on which a request has been read and has no answer yet; it is answered in a later turn. */
-    private final class ReadAndUnanswered implements Frontend {
-        private final EventLoop on = sender.loop();
+    /** A frontend with one connection whose request has been read; {@link #finish} answers it 50 ms later. */
+    private final class UnansweredRequest implements Frontend {
+        private final EventLoop loop = sender.loop();
         private int clients = 1;
         private boolean asked;
 
@@ -299,7 +299,7 @@
         public void finish() {
             if (!asked) {
                 asked = true;
-                on.schedule(() -> clients = 0, 50, TimeUnit.MILLISECONDS);
+                loop.schedule(() -> clients = 0, 50, TimeUnit.MILLISECONDS);
             }
         }
 
@@ -309,97 +309,97 @@
         }
     }
 
-    /** A request that was read is not left without an answer by the end of the process; one that never is holds nothing up. */
+    /** Shutdown waits until a request that was read is answered, but not forever if it never is. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void theEndWaitsForTheAnswerToWhatWasRead(boolean answered) throws Exception {
-        ReadAndUnanswered front = new ReadAndUnanswered();
+    void shutdownWaitsForTheAnswersToRequestsThatWereRead(boolean answered) throws Exception {
+        UnansweredRequest front = new UnansweredRequest();
         front.asked = !answered;
-        on(() -> world.fronts.add(front));
+        onLoop(() -> world.frontends.add(front));
         sender.drain();
-        assertEquals(answered ? 0 : 1, on(front::openConnections));
+        assertEquals(answered ? 0 : 1, onLoop(front::openConnections));
     }
 
     @Test
-    void theSameIdByTwoFrontsIsOneMessageAndEachIsToldOnce() throws Exception {
-        assertEquals("taken", handIn("one", "once", Claim.PLATFORM));
-        assertEquals("PENDING", handIn("one", "once", ASKS));
-        assertEquals("PENDING", handIn("one", "once", ASKS));
+    void theSameIdFromTwoFrontendsIsOneMessageAndEachIsAnsweredOnce() throws Exception {
+        assertEquals("accepted", submit("one", "once", Claim.PLATFORM));
+        assertEquals("PENDING", submit("one", "once", KEPT));
+        assertEquals("PENDING", submit("one", "once", KEPT));
         end(Relay.Outcome.ERROR);
-        awaitTold("one platform FAILED", "one queuedesk-1 FAILED");
-        assertTrue(world.out.isEmpty(), "one message, one attempt");
+        awaitAnswers("one platform FAILED", "one queuedesk-1 FAILED");
+        assertTrue(world.running.isEmpty(), "one message, one attempt");
     }
 
     @Test
-    void aClaimOutlivesTheProcess() throws Exception {
-        assertEquals("taken", handIn("one", "order", ASKS));
-        assertEquals("PENDING", handIn("one", "order", DROPS));
+    void recipientsAreKnownAfterARestart() throws Exception {
+        assertEquals("accepted", submit("one", "order", KEPT));
+        assertEquals("PENDING", submit("one", "order", DROPPED));
         restart();
         end(Relay.Outcome.DELIVERED);
-        awaitTold("one queuedesk-1 DELIVERED", "one queuedesk-2 DELIVERED");
+        awaitAnswers("one queuedesk-1 DELIVERED", "one queuedesk-2 DELIVERED");
         restart();
-        assertEquals(2, world.told.size(), "nobody is told again");
+        assertEquals(2, world.sent.size(), "no recipient gets a second answer");
     }
 
     @Test
-    void whatASecondFrontWasToldIsHeldIsNotWithdrawnWhenTheFirstOneGoes() throws Exception {
-        String known = on(() -> {
-            Held held = world.desk.submit(new MessageIntake.Submission("one", "once", "acme", Optional.empty(), 7, 20_000,
-                    new byte[] {1}, List.of(DROPS))).message().orElseThrow();
-            world.desk.writeAccepted();
-            String second = world.desk.checkDuplicate("one", ASKS).orElseThrow().name();
-            // The first one's connection is gone before its answer was out.
-            world.desk.acceptanceReported(held, false);
+    void aMessageThatASecondFrontendReportedAsPendingIsNotWithdrawnWhenTheFirstClientLeaves() throws Exception {
+        String duplicate = onLoop(() -> {
+            Held held = world.intake.submit(new MessageIntake.Submission("one", "once", "acme", Optional.empty(), 7, 20_000,
+                    new byte[] {1}, List.of(DROPPED))).message().orElseThrow();
+            world.intake.writeAccepted();
+            String second = world.intake.checkDuplicate("one", KEPT).orElseThrow().name();
+            // The first client disconnects before it is told of the acceptance.
+            world.intake.acceptanceReported(held, false);
             return second;
         });
-        assertEquals("PENDING", known);
+        assertEquals("PENDING", duplicate);
         end(Relay.Outcome.DELIVERED);
-        awaitTold("one queuedesk-2 DELIVERED", "one queuedesk-1 DELIVERED");
+        awaitAnswers("one queuedesk-2 DELIVERED", "one queuedesk-1 DELIVERED");
     }
 
     @Test
-    void anAnswerIsKeptForWhoIsAwayAndDroppedWhereThatWasAsked() throws Exception {
-        assertEquals("taken", handIn("one", "order", ASKS));
-        assertEquals("taken", handIn("two", "order", DROPS));
-        on(() -> {
-            world.desk.recipientGone("queue", "desk-1");
-            world.desk.recipientGone("queue", "desk-2");
+    void answersForAnAbsentRecipientAreKeptOrDroppedAsItsRegistrationSays() throws Exception {
+        assertEquals("accepted", submit("one", "order", KEPT));
+        assertEquals("accepted", submit("two", "order", DROPPED));
+        onLoop(() -> {
+            world.intake.recipientGone("queue", "desk-1");
+            world.intake.recipientGone("queue", "desk-2");
             return null;
         });
-        world.hearing.remove("queue");
+        world.acknowledging.remove("queue");
         end(Relay.Outcome.DELIVERED);
         end(Relay.Outcome.DELIVERED);
-        Stub.await("both are over", () -> handIn("two", "order", DROPS).equals("DELIVERED")
-                && handIn("one", "order", ASKS).equals("DELIVERED"));
-        assertEquals(List.of(), world.told);
-        world.hearing.add("queue");
+        Stub.await("both have ended", () -> submit("two", "order", DROPPED).equals("DELIVERED")
+                && submit("one", "order", KEPT).equals("DELIVERED"));
+        assertEquals(List.of(), world.sent);
+        world.acknowledging.add("queue");
         restart();
-        awaitTold("one queuedesk-1 DELIVERED");
+        awaitAnswers("one queuedesk-1 DELIVERED");
     }
 
     @Test
-    void whoHeardBeforeTheEndOfTheProcessIsNotToldAgainWhenAnotherIs() throws Exception {
-        assertEquals("taken", handIn("one", "once", Claim.PLATFORM));
-        assertEquals("PENDING", handIn("one", "once", ASKS));
-        world.hearing.remove("queue");
+    void aRecipientThatAcknowledgedBeforeARestartIsNotAnsweredAgain() throws Exception {
+        assertEquals("accepted", submit("one", "once", Claim.PLATFORM));
+        assertEquals("PENDING", submit("one", "once", KEPT));
+        world.acknowledging.remove("queue");
         end(Relay.Outcome.ERROR);
-        awaitTold("one platform FAILED");
-        world.hearing.add("queue");
+        awaitAnswers("one platform FAILED");
+        world.acknowledging.add("queue");
         restart();
-        awaitTold("one platform FAILED", "one queuedesk-1 FAILED");
+        awaitAnswers("one platform FAILED", "one queuedesk-1 FAILED");
     }
 
     @Test
-    void aDirectoryThatDiesLeavesItsLastListStanding() throws Exception {
+    void theLastListOfAFailedDirectoryStaysInUse() throws Exception {
         world.names = List.of("platform", "consul");
         restart();
-        on(() -> {
+        onLoop(() -> {
             world.directories.get("platform").endpointsChanged(true, List.of(entry("platform-t", 7)));
             return null;
         });
-        assertEquals(2, on(() -> world.serving.size()), "the new one and the other directory's");
-        assertEquals("taken", handIn("one", "order", ASKS));
+        assertEquals(2, onLoop(() -> world.serving.size()), "the new endpoint and that of the other directory");
+        assertEquals("accepted", submit("one", "order", KEPT));
         end(Relay.Outcome.DELIVERED);
-        awaitTold("one queuedesk-1 DELIVERED");
+        awaitAnswers("one queuedesk-1 DELIVERED");
     }
 }
--- a/src/test/java/slipfield/log/LogTest.java
+++ b/src/test/java/slipfield/log/LogTest.java
@@ -8,12 +8,12 @@
 import java.time.Instant;
 import org.junit.jupiter.api.Test;
 
-/** What an event looks like, and how often one is told. */
+/** The format of log lines, and the rate limit of events. */
 class LogTest {
     private static final Instant AT = Instant.ofEpochMilli(1_000_000_000_123L);
 
     @Test
-    void textIsOneLineWhateverAPeerSent() {
+    void textIsOneLineWhateverItsValuesContain() {
         assertEquals("2001-09-09T01:46:40.123Z warn a.b id=x-1 cause=\"two words\\n\\\"q\\\"\" none=\"\"",
                 Layout.TEXT.line(AT, "warn", "a.b", "id", "x-1", "cause", "two words\n\"q\"", "none", ""));
         assertFalse(Layout.TEXT.line(AT, "warn", "a", "x", "y\r\nforged=1").contains("\n"));
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void jsonIsOneObjectALine() throws Exception {
+    void jsonIsOneObjectPerLine() throws Exception {
         String line = Layout.JSON.line(AT, "info", "a.b", "n", 5L, "yes", true, "text", "\u0001\"\n", "nothing", null);
         JsonNode json = JsonMapper.builder().build().readTree(line);
         assertFalse(line.contains("\n"));
@@ -32,20 +32,20 @@
     }
 
     @Test
-    void anEventThatComesWithoutEndIsToldOnceASecond() {
+    void aRepeatedEventIsLoggedOncePerSecond() {
         EventRateLimit limit = new EventRateLimit();
-        int told = 0;
-        long passedOver = 0;
+        int logged = 0;
+        long suppressed = 0;
         for (long now = 0; now < 60_000; now++) {
             long before = limit.acquire(now);
             if (before >= 0) {
-                told++;
-                passedOver += before;
+                logged++;
+                suppressed += before;
             }
         }
-        assertEquals(10 + 59, told);
-        assertEquals(60_000 - told, passedOver, 1000);
-        // A clock that goes back neither fills nor blocks it for good.
+        assertEquals(10 + 59, logged);
+        assertEquals(60_000 - logged, suppressed, 1000);
+        // A clock that goes backwards neither refills the bucket nor blocks it for good.
         assertEquals(-1, limit.acquire(0));
         assertEquals(true, limit.acquire(61_000) >= 0);
     }
--- a/src/test/java/slipfield/outcome/ends/ClientAnswersTest.java
+++ b/src/test/java/slipfield/outcome/ends/ClientAnswersTest.java
@@ -19,33 +19,33 @@
 import slipfield.journal.Held;
 import slipfield.journal.Owed;
 
-/** What is kept of ends, told again and forgotten; on a loop whose clock the test moves. */
+/** How long answers are retained, and when they are sent again; on an event loop whose clock the test moves. */
 class ClientAnswersTest {
     private final EmbeddedChannel channel = new EmbeddedChannel();
     private final EventLoop loop = channel.eventLoop();
-    private final List<String> heard = new ArrayList<>();
-    private final List<String> told = new ArrayList<>();
+    private final List<String> acknowledged = new ArrayList<>();
+    private final List<String> responses = new ArrayList<>();
 
-    private ClientAnswers ends(long keepMs, int most, long mostBytes) {
-        return new ClientAnswers(loop, new ClientsConfig.Retention(keepMs, most, mostBytes), "e1",
-                owed -> heard.add(owed.held().id));
+    private ClientAnswers answers(long keepMs, int maxAnswers, long maxBytes) {
+        return new ClientAnswers(loop, new ClientsConfig.Retention(keepMs, maxAnswers, maxBytes), "e1",
+                owed -> acknowledged.add(owed.held().id));
     }
 
-    private static Owed owed(ClientAnswers ends, String peer, String id, Held.End end, double waitMs) {
-        Held held = new Held(1, id, "c", "t", Optional.empty(), 7, 0, new byte[100], ends.recipient(peer));
+    private static Owed pendingAnswer(ClientAnswers answers, String peer, String id, Held.End end, double waitMs) {
+        Held held = new Held(1, id, "c", "t", Optional.empty(), 7, 0, new byte[100], answers.recipient(peer));
         held.owed = Optional.of(new Held.Notice(end, waitMs));
-        return new Owed(held, ends.recipient(peer));
+        return new Owed(held, answers.recipient(peer));
     }
 
-    private void owe(ClientAnswers ends, String peer, String... ids) {
+    private void enqueue(ClientAnswers answers, String peer, String... ids) {
         for (String id : ids) {
-            ends.enqueue(owed(ends, peer, id, Held.End.DELIVERED, 0));
+            answers.enqueue(pendingAnswer(answers, peer, id, Held.End.DELIVERED, 0));
         }
-        ends.flush();
+        answers.flush();
     }
 
-    private AnswerPolling.Poll ask(ClientAnswers ends, String peer, String after, long waitMs) {
-        return ends.poll(peer, after, waitMs, told::add);
+    private AnswerPolling.Poll poll(ClientAnswers answers, String peer, String after, long waitMs) {
+        return answers.poll(peer, after, waitMs, responses::add);
     }
 
     private static String line(int place, String id) {
@@ -53,108 +53,108 @@
     }
 
     @Test
-    void endsAreToldUntilTheirCursorComesBack() {
-        ClientAnswers ends = ends(60_000, 100, 1 << 20);
-        owe(ends, "desk", "a", "b");
-        ask(ends, "desk", "", 0);
-        ask(ends, "desk", "e0-99", 0);
-        ask(ends, "desk", "e1-1", 0);
-        assertEquals(List.of(line(1, "a") + line(2, "b"), line(1, "a") + line(2, "b"), line(2, "b")), told);
-        assertEquals(List.of("a"), heard);
-        ask(ends, "desk", "e1-2", 0);
-        assertEquals("", told.get(3));
-        assertEquals(List.of("a", "b"), heard);
-        assertEquals(0, ends.retainedCount());
+    void answersAreSentUntilTheirCursorIsReturned() {
+        ClientAnswers answers = answers(60_000, 100, 1 << 20);
+        enqueue(answers, "desk", "a", "b");
+        poll(answers, "desk", "", 0);
+        poll(answers, "desk", "e0-99", 0);
+        poll(answers, "desk", "e1-1", 0);
+        assertEquals(List.of(line(1, "a") + line(2, "b"), line(1, "a") + line(2, "b"), line(2, "b")), responses);
+        assertEquals(List.of("a"), acknowledged);
+        poll(answers, "desk", "e1-2", 0);
+        assertEquals("", responses.get(3));
+        assertEquals(List.of("a", "b"), acknowledged);
+        assertEquals(0, answers.retainedCount());
     }
 
     @Test
-    void aRefusalTellsWhenToComeBack() {
-        ClientAnswers ends = ends(60_000, 100, 1 << 20);
-        ends.enqueue(owed(ends, "desk", "a", Held.End.REFUSED, 250.4));
-        ends.enqueue(owed(ends, "desk", "b", Held.End.FAILED, 0));
-        ask(ends, "desk", "", 0);
+    void aRefusalHasItsRequestedDelay() {
+        ClientAnswers answers = answers(60_000, 100, 1 << 20);
+        answers.enqueue(pendingAnswer(answers, "desk", "a", Held.End.REFUSED, 250.4));
+        answers.enqueue(pendingAnswer(answers, "desk", "b", Held.End.FAILED, 0));
+        poll(answers, "desk", "", 0);
         assertEquals("{\"cursor\":\"e1-1\",\"ref\":\"a\",\"end\":\"refused\",\"wait_ms\":250}\n"
-                + "{\"cursor\":\"e1-2\",\"ref\":\"b\",\"end\":\"failed\"}\n", told.get(0));
+                + "{\"cursor\":\"e1-2\",\"ref\":\"b\",\"end\":\"failed\"}\n", responses.get(0));
     }
 
     @Test
-    void whoWaitsHearsAtTheTurnsEndAndOthersHearNothing() {
-        ClientAnswers ends = ends(60_000, 100, 1 << 20);
-        ask(ends, "desk", "", 5000);
-        owe(ends, "other", "x");
-        assertEquals(List.of(), told);
-        owe(ends, "desk", "a", "b");
-        assertEquals(List.of(line(2, "a") + line(3, "b")), told);
-        // An earlier question of the same client is answered, since its connection is mostly dead.
-        ask(ends, "desk", "e1-3", 5000);
-        ask(ends, "desk", "e1-3", 5000);
-        assertEquals("", told.get(1));
-        AnswerPolling.Poll gone = ask(ends, "desk", "e1-3", 5000);
-        gone.cancel();
-        owe(ends, "desk", "c");
-        assertEquals(3, told.size(), "one that is gone is told nothing");
-        ends.release();
-        ask(ends, "desk", "", 5000);
-        assertEquals(line(4, "c"), told.get(3), "and a sender that ends answers at once");
+    void aWaitingPollIsAnsweredAtTheEndOfTheIterationAndOthersAreNot() {
+        ClientAnswers answers = answers(60_000, 100, 1 << 20);
+        poll(answers, "desk", "", 5000);
+        enqueue(answers, "other", "x");
+        assertEquals(List.of(), responses);
+        enqueue(answers, "desk", "a", "b");
+        assertEquals(List.of(line(2, "a") + line(3, "b")), responses);
+        // An earlier poll of the same client is answered, since its connection is probably dead.
+        poll(answers, "desk", "e1-3", 5000);
+        poll(answers, "desk", "e1-3", 5000);
+        assertEquals("", responses.get(1));
+        AnswerPolling.Poll cancelled = poll(answers, "desk", "e1-3", 5000);
+        cancelled.cancel();
+        enqueue(answers, "desk", "c");
+        assertEquals(3, responses.size(), "a cancelled poll is not answered");
+        answers.release();
+        poll(answers, "desk", "", 5000);
+        assertEquals(line(4, "c"), responses.get(3), "a sender that shuts down answers at once");
     }
 
     @Test
-    void aWaitEndsByItsTime() {
-        ClientAnswers ends = ends(60_000, 100, 1 << 20);
+    void aPollEndsWhenItsWaitTimeIsOver() {
+        ClientAnswers answers = answers(60_000, 100, 1 << 20);
         channel.freezeTime();
-        ask(ends, "desk", "", 5000);
+        poll(answers, "desk", "", 5000);
         channel.advanceTimeBy(4999, TimeUnit.MILLISECONDS);
         channel.runScheduledPendingTasks();
-        assertEquals(List.of(), told);
+        assertEquals(List.of(), responses);
         channel.advanceTimeBy(1, TimeUnit.MILLISECONDS);
         channel.runScheduledPendingTasks();
-        assertEquals(List.of(""), told);
+        assertEquals(List.of(""), responses);
     }
 
     @Test
-    void whatIsTooMuchGoesOldestFirst() {
-        ClientAnswers few = ends(60_000, 3, 1 << 20);
-        owe(few, "gone", "a", "b");
-        owe(few, "desk", "c", "d", "e");
-        assertEquals(List.of("a", "b"), heard);
+    void theOldestAnswersAreDroppedBeyondTheLimits() {
+        ClientAnswers few = answers(60_000, 3, 1 << 20);
+        enqueue(few, "gone", "a", "b");
+        enqueue(few, "desk", "c", "d", "e");
+        assertEquals(List.of("a", "b"), acknowledged);
         assertEquals(3, few.retainedCount());
-        heard.clear();
-        ClientAnswers small = ends(60_000, 100, 1000);
-        owe(small, "desk", "a", "b", "c", "d");
-        assertEquals(List.of("a", "b"), heard);
-        heard.clear();
-        ClientAnswers old = ends(1, 100, 1 << 20);
-        owe(old, "gone", "a");
+        acknowledged.clear();
+        ClientAnswers small = answers(60_000, 100, 1000);
+        enqueue(small, "desk", "a", "b", "c", "d");
+        assertEquals(List.of("a", "b"), acknowledged);
+        acknowledged.clear();
+        ClientAnswers old = answers(1, 100, 1 << 20);
+        enqueue(old, "gone", "a");
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(2);
         while (System.nanoTime() < until) {
             Thread.onSpinWait();
         }
         channel.advanceTimeBy(2000, TimeUnit.MILLISECONDS);
         channel.runScheduledPendingTasks();
-        assertEquals(List.of("a"), heard);
+        assertEquals(List.of("a"), acknowledged);
         assertEquals(0, old.retainedCount());
     }
 
-    /** A body of any size is one answer after the other, none much longer than it may be. */
+    /** Many answers are sent in several responses, none of them much longer than the limit. */
     @Test
-    void aLongListIsToldInParts() {
-        ClientAnswers ends = ends(60_000, 10_000, 1 << 24);
+    void manyAnswersAreSentInSeveralResponses() {
+        ClientAnswers answers = answers(60_000, 10_000, 1 << 24);
         for (int i = 1; i <= 3000; i++) {
-            ends.enqueue(owed(ends, "desk", "id-" + i, Held.End.DELIVERED, 0));
+            answers.enqueue(pendingAnswer(answers, "desk", "id-" + i, Held.End.DELIVERED, 0));
         }
         String after = "";
-        for (int answers = 0; heard.size() < 3000; answers++) {
-            ask(ends, "desk", after, 0);
-            String lines = told.get(answers);
-            assertTrue(lines.length() < 50_000 && answers < 20);
+        for (int polls = 0; acknowledged.size() < 3000; polls++) {
+            poll(answers, "desk", after, 0);
+            String lines = responses.get(polls);
+            assertTrue(lines.length() < 50_000 && polls < 20);
             int last = lines.lastIndexOf("\"cursor\":\"") + 10;
             after = lines.isEmpty() ? after : lines.substring(last, lines.indexOf('"', last));
         }
-        assertEquals("id-3000", heard.get(2999));
+        assertEquals("id-3000", acknowledged.get(2999));
     }
 
     @Test
-    void itsFileIsReadOrNamedWithTheMend(@TempDir Path folder) throws Exception {
+    void itsSettingsAreReadAndErrorsSayHowToCorrectThem(@TempDir Path folder) throws Exception {
         ClientsConfig shipped = ClientsConfig.read(Path.of("deploy", "clients.yaml"));
         assertEquals(new ClientsConfig(5000, true, Optional.of(new ClientsConfig.Retention(60_000, 10_000, 2048 * 1024))),
                 shipped);
@@ -163,8 +163,8 @@
             {"wait_scope: maybe", ":1:13: wait_scope is none of its values"}, {"end: {}", "did you mean 'ends'?"},
             {"ends:\n  most: 0", ":2:9: ends.most is a whole number from 1 to 1000000"}}) {
             Files.writeString(file, wrong[0]);
-            String told = assertThrows(BadInput.class, () -> ClientsConfig.read(file)).getMessage();
-            assertTrue(told.contains(wrong[1]), told);
+            String message = assertThrows(BadInput.class, () -> ClientsConfig.read(file)).getMessage();
+            assertTrue(message.contains(wrong[1]), message);
         }
     }
 }
