--- a/src/main/java/slipfield/core/Recovery.java
+++ b/src/main/java/slipfield/core/Recovery.java
@@ -14,10 +14,10 @@
 import slipfield.recovery.Plan;
 
 /**
- * Restores the messages that an earlier process left in the journal, in the order of a {@link Plan}: one batch per event-loop
- * iteration, so that the loop can do other work in between. Final answers need no endpoint list and are sent first. Messages
- * that may still be delivered wait a limited time for an endpoint list from discovery; one whose time runs out meanwhile is
- * ended.
+ * Restores the messages that an earlier process left in the journal, in the order of a {@link Plan}: one batch per
+ * event-loop iteration, so that the loop can do other work in between. Final answers need no endpoint list and are sent
+ * first. Messages that may still be delivered wait a limited time for an endpoint list from discovery; one whose time runs
+ * out meanwhile is ended.
  */
 final class Recovery {
     /** How long to wait for discovery before the endpoint list of the configuration is used. */
--- a/src/main/java/slipfield/core/Sender.java
+++ b/src/main/java/slipfield/core/Sender.java
@@ -118,7 +118,7 @@
     }
 
     /** A call that the policy has decided; {@code atMs}: the policy's time of the iteration in which it was decided. */
-    private record DecidedCall(Held held, int attempt, long endpoint, Relay.Within within, double atMs) {
+    private record DecidedCall(Held held, int attempt, long endpoint, Relay.Within timing, double atMs) {
     }
 
     /**
@@ -393,7 +393,7 @@
         }
         long decidedNanos = startNanos + (long) (d.atMs * 1e6);
         runningAttempts.put(attemptKey(d.held.number, d.attempt),
-                transport.attempt(d.held, d.attempt, d.endpoint, d.within, decidedNanos));
+                transport.attempt(d.held, d.attempt, d.endpoint, d.timing, decidedNanos));
     }
 
     /** Logs an unexpected exception. One in the handling of a message must not end the process and affect the others. */
@@ -416,7 +416,7 @@
     // ---- actions of the policy ----
 
     @Override
-    public void send(long message, long endpoint, Relay.Within within) {
+    public void send(long message, long endpoint, Relay.Within timing) {
         Held held = pendingByNumber.get(message);
         int number = held.attempts.size();
         Held.Attempt attempt = new Held.Attempt(endpointIds.get(endpoint), life.wallMs());
@@ -428,7 +428,7 @@
             dropUnrecorded(held, number);
             return;
         }
-        decidedCalls.add(new DecidedCall(held, number, endpoint, within, iterationMs));
+        decidedCalls.add(new DecidedCall(held, number, endpoint, timing, iterationMs));
     }
 
     @Override
@@ -502,8 +502,8 @@
     @Override
     public void remember(long destination, long route, Relay.Pace pace) {
         try {
-            journal.pace(new Journal.PaceOf(destination, route == Relay.SHARED ? "" : endpointIds.get(route)),
-                    pace);
+            journal.pace(new Journal.PaceOf(destination,
+                    route == Relay.SHARED ? "" : endpointIds.get(route)), pace);
         } catch (IOException e) {
             writeFailed("journal.pace_unwritten", "", e);
         }
@@ -586,8 +586,8 @@
         }
     }
 
-    private void attemptEnded(Held held, int attempt, Relay.Outcome outcome, boolean gone, double waitMs,
-            Relay.Told told, double took) {
+    private void attemptEnded(Held held, int attempt, Relay.Outcome outcome, boolean gone,
+            double waitMs, Relay.Told told, double took) {
         double now = beginIteration();
         if (FLOW_ENABLED) {
             Flow.step("end", held.id, attempt, held.destination, held.attempts.get(attempt).endpoint, outcome,
@@ -789,7 +789,8 @@
                         s.key().orElse("-"), verdict.reason().replace(' ', '_'));
             }
             if (!verdict.taken()) {
-                return new SubmissionResult(Optional.empty(), verdict.reason(), verdict.waitMs(), verdict.destination());
+                return new SubmissionResult(Optional.empty(), verdict.reason(), verdict.waitMs(),
+                        verdict.destination());
             }
             Held held = new Held(journal.nextNumber(), s.id(), s.messageClass(), s.tenant(), s.key(),
                     s.destination(), life.wallMs() + leftMs, s.body(), s.recipients().get(0));
--- a/src/main/java/slipfield/core/Transport.java
+++ b/src/main/java/slipfield/core/Transport.java
@@ -43,9 +43,9 @@
          * @param gone whether the endpoint reported that the message is over (HTTP 410); it counts as delivered then, whatever
          *     the outcome
          * @param waitMs the delay that the endpoint requested, in milliseconds, or 0
-         * @param told the rate limit that the destination reported
+         * @param limitReport the rate limit that the destination reported
          */
-        void ended(Attempt attempt, Relay.Outcome outcome, boolean gone, double waitMs, Relay.Told told);
+        void ended(Attempt attempt, Relay.Outcome outcome, boolean gone, double waitMs, Relay.Told limitReport);
     }
 
     /** Starts the maintenance of open connections. */
@@ -65,10 +65,10 @@
      * was decided.
      *
      * @param number the number of the attempt among those of the message, from 0
-     * @param within its times, counted from {@code decidedNanos}; an attempt that can't be written in time ends as
+     * @param timing its times, counted from {@code decidedNanos}; an attempt that can't be written in time ends as
      *     {@link Relay.Outcome#NOT_SENT}
      */
-    Attempt attempt(Held held, int number, long endpoint, Relay.Within within, long decidedNanos);
+    Attempt attempt(Held held, int number, long endpoint, Relay.Within timing, long decidedNanos);
 
     /** Closes the idle connections to an endpoint; the next attempt opens a new one. */
     void closeIdle(long endpoint);
--- a/src/test/java/slipfield/core/SenderPortsTest.java
+++ b/src/test/java/slipfield/core/SenderPortsTest.java
@@ -36,7 +36,7 @@
 import slipfield.standin.Stub;
 import slipfield.trace.Trace;
 
-/** Tests what the ports of the core guarantee to frontends, transports, directories and answer channels, all of them in memory. */
+/** Tests what the ports of the core guarantee to frontends, transports, directories and answer channels in memory. */
 class SenderPortsTest {
     private static final Claim KEPT = new Claim("queue", "desk-1", true, true);
     private static final long DELAY_MS = 600;
@@ -93,7 +93,7 @@
                 }
 
                 @Override
-                public Attempt attempt(Held held, int number, long endpoint, Relay.Within within, long decidedNanos) {
+                public Attempt attempt(Held held, int number, long endpoint, Relay.Within timing, long decidedNanos) {
                     RunningAttempt attempt = new RunningAttempt(held, number, System.nanoTime(), listener);
                     running.add(attempt);
                     return attempt;
@@ -344,8 +344,8 @@
     @Test
     void aMessageThatASecondFrontendReportedAsPendingIsNotWithdrawnWhenTheFirstClientLeaves() throws Exception {
         String duplicate = onLoop(() -> {
-            Held held = world.intake.submit(new MessageIntake.Submission("one", "once", "acme", Optional.empty(), 7, 20_000,
-                    new byte[] {1}, List.of(DROPPED))).message().orElseThrow();
+            Held held = world.intake.submit(new MessageIntake.Submission("one", "once", "acme",
+                    Optional.empty(), 7, 20_000, new byte[] {1}, List.of(DROPPED))).message().orElseThrow();
             world.intake.writeAccepted();
             String second = world.intake.checkDuplicate("one", KEPT).orElseThrow().name();
             // The first client disconnects before it is told of the acceptance.
--- a/src/test/java/slipfield/outcome/ends/ClientAnswersTest.java
+++ b/src/test/java/slipfield/outcome/ends/ClientAnswersTest.java
@@ -31,7 +31,8 @@
                 owed -> acknowledged.add(owed.held().id));
     }
 
-    private static Owed pendingAnswer(ClientAnswers answers, String peer, String id, Held.End end, double waitMs) {
+    private static Owed pendingAnswer(ClientAnswers answers, String peer, String id, Held.End end,
+            double waitMs) {
         Held held = new Held(1, id, "c", "t", Optional.empty(), 7, 0, new byte[100], answers.recipient(peer));
         held.owed = Optional.of(new Held.Notice(end, waitMs));
         return new Owed(held, answers.recipient(peer));
