--- a/src/main/java/slipfield/core/Sender.java
+++ b/src/main/java/slipfield/core/Sender.java
@@ -75,7 +75,7 @@
     private final EventLoop loop = group.next();
     private final CountDownLatch stopped = new CountDownLatch(1);
     private final long startNanos = System.nanoTime();
-    private final LifeClock life;
+    private final LifeClock clock;
     private final CountDownLatch overdueAnswersSent = new CountDownLatch(1);
     private final Map<String, Long> endpointNumbers = new HashMap<>();
     private final Map<Long, String> endpointIds = new HashMap<>();
@@ -127,10 +127,10 @@
      * @param acceptMs how long after the start of a drain new connections are accepted, in milliseconds
      * @param drainMs how long after the start of a drain attempts in progress may take, in milliseconds
      */
-    public Sender(Config config, SenderComponents components, long acceptMs, long drainMs, LifeClock life) {
+    public Sender(Config config, SenderComponents components, long acceptMs, long drainMs, LifeClock clock) {
         this.config = config;
         this.components = components;
-        this.life = life;
+        this.clock = clock;
         this.admission = new Admission(config.maxOpen());
         this.acceptMs = acceptMs;
         this.drainMs = drainMs;
@@ -143,7 +143,7 @@
      */
     public List<InetSocketAddress> start() throws IOException {
         Journal opened = Retry.within(Retry.START_MS, "journal", () -> new Journal(config.state(), config.diskBytes(),
-                config.settings().maxAttempts(), life.mark(), FileChannel::open));
+                config.settings().maxAttempts(), clock.mark(), FileChannel::open));
         loop.submit(() -> open(opened)).syncUninterruptibly();
         try {
             overdueAnswersSent.await();
@@ -180,7 +180,7 @@
 
     /** Restores what an earlier process left in the journal: messages with their attempts, endpoint health and send rates. */
     private void recover() {
-        long wall = life.wallMs();
+        long wall = clock.wallMs();
         double now = beginIteration();
         journal.over().forEach(endedIds::add);
         for (Map.Entry<String, Journal.Health> known : journal.health().entrySet()) {
@@ -203,7 +203,7 @@
                 admission.held(now, h.destination);
             }
         }
-        recovery = new Recovery(loop, life::wallMs, held, h -> {
+        recovery = new Recovery(loop, clock::wallMs, held, h -> {
             int messageClass = config.classes().indexOf(h.messageClass);
             return messageClass >= 0 && config.settings().classes().get(messageClass).inOrder();
         }, new RecoverySteps());
@@ -226,7 +226,7 @@
                 end(held, new Held.Notice(Held.End.FAILED, 0));
                 return;
             }
-            long wall = life.wallMs();
+            long wall = clock.wallMs();
             List<Relay.EarlierAttempt> earlier = new ArrayList<>();
             for (Held.Attempt a : held.attempts) {
                 // If the wall clock was set back, an attempt must not seem to start in the future.
@@ -327,7 +327,7 @@
 
         @Override
         public long wallMs() {
-            return life.wallMs();
+            return clock.wallMs();
         }
     }
 
@@ -419,7 +419,7 @@
     public void send(long message, long endpoint, Relay.Within timing) {
         Held held = pendingByNumber.get(message);
         int number = held.attempts.size();
-        Held.Attempt attempt = new Held.Attempt(endpointIds.get(endpoint), life.wallMs());
+        Held.Attempt attempt = new Held.Attempt(endpointIds.get(endpoint), clock.wallMs());
         try {
             journal.attempt(held, attempt);
         } catch (IOException e) {
@@ -495,7 +495,7 @@
     @Override
     public void remember(long endpoint, Relay.Health health) {
         long ago = (long) (iterationMs - health.since());
-        remember(endpointIds.get(endpoint), new Journal.Health(health.state(), life.wallMs() - ago,
+        remember(endpointIds.get(endpoint), new Journal.Health(health.state(), clock.wallMs() - ago,
                 health.carriedPerMs()));
     }
 
@@ -520,7 +520,7 @@
     private void end(Held held, Held.Notice notice) {
         finish(held, false);
         OutageLog.undelivered(held, notice);
-        LatenessLog.messageEnded(held, life.wallMs() - held.deadlineMs, ANSWER_RESERVE_MS, ready);
+        LatenessLog.messageEnded(held, clock.wallMs() - held.deadlineMs, ANSWER_RESERVE_MS, ready);
         if (TRACE_ENABLED) {
             traceLateAnswer(held);
         }
@@ -559,7 +559,7 @@
     }
 
     private void traceLateAnswer(Held held) {
-        long wall = life.wallMs();
+        long wall = clock.wallMs();
         held.endedMs = wall;
         if (wall - held.deadlineMs > LATE_ANSWER_MS) {
             int attempts = held.attempts.size();
@@ -626,7 +626,7 @@
 
     private void finish(Held held, boolean delivered) {
         if (FLOW_ENABLED) {
-            Flow.step("over", held.id, delivered, held.destination, life.wallMs() - held.takenMs);
+            Flow.step("over", held.id, delivered, held.destination, clock.wallMs() - held.takenMs);
         }
         held.over = true;
         pendingByNumber.remove(held.number);
@@ -636,8 +636,8 @@
 
     private void acknowledged(Owed answer) {
         Held held = answer.held();
-        if (TRACE_ENABLED && held.endedMs > 0 && life.wallMs() - held.deadlineMs > LATE_ANSWER_MS) {
-            trace.lateNotice(held.id, life.wallMs() - held.endedMs, life.wallMs() - held.deadlineMs);
+        if (TRACE_ENABLED && held.endedMs > 0 && clock.wallMs() - held.deadlineMs > LATE_ANSWER_MS) {
+            trace.lateNotice(held.id, clock.wallMs() - held.endedMs, clock.wallMs() - held.deadlineMs);
         }
         try {
             journal.heard(held, answer.claim());
@@ -793,7 +793,7 @@
                         verdict.destination());
             }
             Held held = new Held(journal.nextNumber(), s.id(), s.messageClass(), s.tenant(), s.key(),
-                    s.destination(), life.wallMs() + leftMs, s.body(), s.recipients().get(0));
+                    s.destination(), clock.wallMs() + leftMs, s.body(), s.recipients().get(0));
             held.reserveMs = (int) reserveMs;
             held.claims.addAll(s.recipients().subList(1, s.recipients().size()));
             // The end of the iteration writes the collected records, whether or not this message is accepted.
@@ -836,7 +836,7 @@
                 return;
             }
             int messageClass = config.classes().indexOf(held.messageClass);
-            double left = held.deadlineMs - life.wallMs();
+            double left = held.deadlineMs - clock.wallMs();
             guarded(() -> relay.message(beginIteration(), message(held, messageClass, left)));
         }
     }
