--- a/src/main/java/slipfield/core/AnswerChannel.java
+++ b/src/main/java/slipfield/core/AnswerChannel.java
@@ -4,8 +4,8 @@
 
 /**
  * Sends final answers to their recipients, each again until it is acknowledged. A duplicate answer is harmless, but a message
- * whose answer never arrives is lost. Each {@link slipfield.journal.Claim} of a message names its channel, and says whether
- * the recipient gets an answer for a delivered message too.
+ * whose answer never arrives is lost. Each {@link slipfield.journal.Claim} of a message names its channel, and says
+ * whether the recipient gets an answer for a delivered message too.
  */
 public interface AnswerChannel {
     /** Adds an answer, to be sent from the next {@link #flush} on. The core is notified when it is acknowledged. */
--- a/src/main/java/slipfield/core/Durability.java
+++ b/src/main/java/slipfield/core/Durability.java
@@ -129,26 +129,26 @@
     }
 
     /** Adds the message to those whose answer {@link #release} sends as soon as allowed. */
-    void enqueue(Held held) {
-        ended.add(held);
+    void enqueue(Held message) {
+        ended.add(message);
     }
 
     /** Sends the answers that may be sent now. */
     void release() {
         for (int left = ended.size(); left > 0; left--) {
-            Held held = ended.remove();
-            if (!journal.isStale() || !mayResend.test(held) || isDue(held)) {
-                listener.send(held);
+            Held message = ended.remove();
+            if (!journal.isStale() || !mayResend.test(message) || isDue(message)) {
+                listener.send(message);
             } else {
-                ended.add(held);
+                ended.add(message);
             }
         }
     }
 
-    private boolean isDue(Held held) {
-        boolean due = listener.wallMs() >= held.deadlineMs + held.reserveMs - SEND_BEFORE_MS;
+    private boolean isDue(Held message) {
+        boolean due = listener.wallMs() >= message.deadlineMs + message.reserveMs - SEND_BEFORE_MS;
         if (due) {
-            Log.error("message.end_told_unwritten", "message", held.id);
+            Log.error("message.end_told_unwritten", "message", message.id);
         }
         return due;
     }
--- a/src/main/java/slipfield/core/LatenessLog.java
+++ b/src/main/java/slipfield/core/LatenessLog.java
@@ -24,10 +24,10 @@
      * @param lateMs how long after its time it has ended, in milliseconds
      * @param reserveMs how much of that was reserved for late answers
      */
-    static void messageEnded(Held held, long lateMs, long reserveMs, boolean inService) {
+    static void messageEnded(Held message, long lateMs, long reserveMs, boolean inService) {
         if (lateMs > reserveMs) {
-            Log.warn("message.ended_late", "message", held.id, "late_ms", lateMs - reserveMs, "attempts",
-                    held.attempts.size(), "in", inService ? "service" : "recovery");
+            Log.warn("message.ended_late", "message", message.id, "late_ms", lateMs - reserveMs, "attempts",
+                    message.attempts.size(), "in", inService ? "service" : "recovery");
         }
     }
 }
--- a/src/main/java/slipfield/core/MessageIntake.java
+++ b/src/main/java/slipfield/core/MessageIntake.java
@@ -27,8 +27,8 @@
      */
     record SubmissionResult(Optional<Held> message, String reason, long waitMs, boolean destination) {
         /** The submission is accepted as this message. */
-        public static SubmissionResult accepted(Held held) {
-            return new SubmissionResult(Optional.of(held), "", 0, false);
+        public static SubmissionResult accepted(Held message) {
+            return new SubmissionResult(Optional.of(message), "", 0, false);
         }
 
         /** The submission is refused. */
@@ -87,7 +87,7 @@
      * Whether a message is in the journal although {@link #writeAccepted} returned false: the write failed after its record, and
      * the file could not be truncated. The process after a restart would send it, so it counts as accepted.
      */
-    default boolean isRecorded(Held held) {
+    default boolean isRecorded(Held message) {
         return false;
     }
 
@@ -95,5 +95,5 @@
      * Reports whether the client has received the acceptance of its message. False if it never will, as for each message that
      * {@link #writeAccepted} did not write.
      */
-    void acceptanceReported(Held held, boolean received);
+    void acceptanceReported(Held message, boolean received);
 }
--- a/src/main/java/slipfield/core/OutageLog.java
+++ b/src/main/java/slipfield/core/OutageLog.java
@@ -41,16 +41,16 @@
     }
 
     /** An attempt has ended after {@code tookMs} milliseconds; logged unless it delivered the message or was cancelled. */
-    static void attemptEnded(Held held, int attempt, Relay.Outcome outcome, double tookMs) {
+    static void attemptEnded(Held message, int attempt, Relay.Outcome outcome, double tookMs) {
         if (outcome != Relay.Outcome.DELIVERED && outcome != Relay.Outcome.CANCELLED) {
-            Log.warn("attempt.failed", "message", held.id, "attempt", attempt, "destination", held.destination, "endpoint",
-                    held.attempts.get(attempt).endpoint, "outcome", outcome, "took_ms", Math.round(tookMs));
+            Log.warn("attempt.failed", "message", message.id, "attempt", attempt, "destination", message.destination, "endpoint",
+                    message.attempts.get(attempt).endpoint, "outcome", outcome, "took_ms", Math.round(tookMs));
         }
     }
 
     /** A message was refused or failed. */
-    static void undelivered(Held held, Held.Notice notice) {
-        Log.warn("message.undelivered", "message", held.id, "destination", held.destination, "end", notice.end(), "attempts",
-                held.attempts.size());
+    static void undelivered(Held message, Held.Notice notice) {
+        Log.warn("message.undelivered", "message", message.id, "destination", message.destination, "end", notice.end(),
+                "attempts", message.attempts.size());
     }
 }
--- a/src/main/java/slipfield/core/Recovery.java
+++ b/src/main/java/slipfield/core/Recovery.java
@@ -28,10 +28,10 @@
     /** Handles each restored message, and the end of each stage. */
     interface Steps {
         /** The message ended in an earlier process: its answer has to be sent. */
-        void sendAnswer(Held held);
+        void sendAnswer(Held message);
 
         /** Returns a message to the policy; {@code leftMs} is 0 or less if its time is up. */
-        void resume(Held held, long leftMs);
+        void resume(Held message, long leftMs);
 
         /** All answers that were due at the start have been sent. */
         void answersSent();
@@ -55,13 +55,13 @@
     private int resumed;
     private int batches;
 
-    Recovery(EventLoop loop, LongSupplier wallMs, List<Held> held, Predicate<Held> inOrder, Steps steps) {
+    Recovery(EventLoop loop, LongSupplier wallMs, List<Held> messages, Predicate<Held> inOrder, Steps steps) {
         this.loop = loop;
         this.wallMs = wallMs;
         this.inOrder = inOrder;
         this.steps = steps;
-        this.all = held;
-        for (Held h : held) {
+        this.all = messages;
+        for (Held h : messages) {
             left.put(h.number, h);
         }
     }
@@ -98,16 +98,17 @@
     private void plan() {
         long now = wallMs.getAsLong();
         List<Plan.Item> items = new ArrayList<>();
-        for (Held held : all) {
-            if (left.containsKey(held.number)) {
-                items.add(new Plan.Item(held.number, leftMs(held, now), held.over, inOrder.test(held)));
+        for (Held message : all) {
+            if (left.containsKey(message.number)) {
+                items.add(new Plan.Item(message.number, leftMs(message, now), message.over, inOrder.test(message)));
             }
         }
         plan = new Plan(items);
     }
 
-    private static long leftMs(Held held, long now) {
-        return Plan.leftMs(held.deadlineMs - now, held.reserveMs, held.attempts.stream().allMatch(a -> a.neverRan));
+    private static long leftMs(Held message, long now) {
+        return Plan.leftMs(message.deadlineMs - now, message.reserveMs,
+                message.attempts.stream().allMatch(a -> a.neverRan));
     }
 
     private void step() {
@@ -145,23 +146,23 @@
         batches++;
         long now = wallMs.getAsLong();
         for (long number : slice.numbers()) {
-            Held held = left.remove(number);
+            Held message = left.remove(number);
             try {
-                restore(held, slice.step(), now);
+                restore(message, slice.step(), now);
             } catch (RuntimeException e) {
                 // The other messages must be restored all the same; the journal still holds this one.
-                Log.error("recovery.message_fault", "message", held.id, "cause", e);
+                Log.error("recovery.message_fault", "message", message.id, "cause", e);
             }
         }
         scheduleStep(0);
     }
 
-    private void restore(Held held, Plan.Step step, long now) {
+    private void restore(Held message, Plan.Step step, long now) {
         if (step == Plan.Step.TELL) {
-            steps.sendAnswer(held);
+            steps.sendAnswer(message);
         } else {
             resumed += step == Plan.Step.RESUME ? 1 : 0;
-            steps.resume(held, leftMs(held, now));
+            steps.resume(message, leftMs(message, now));
         }
     }
 }
--- a/src/main/java/slipfield/core/Sender.java
+++ b/src/main/java/slipfield/core/Sender.java
@@ -118,7 +118,8 @@
     }
 
     /** A call that the policy has decided; {@code atMs}: the policy's time of the iteration in which it was decided. */
-    private record DecidedCall(Held held, int attempt, long endpoint, Relay.Within timing, double atMs) {
+    private record DecidedCall(Held message, int attempt, long endpoint, Relay.Within timing,
+            double atMs) {
     }
 
     /**
@@ -194,8 +195,8 @@
             relay.recalled(now, known.getKey().destination(),
                     route.isEmpty() ? Relay.SHARED : endpointNumber(route), known.getValue());
         }
-        List<Held> held = journal.held();
-        for (Held h : held) {
+        List<Held> messages = journal.held();
+        for (Held h : messages) {
             h.told = true;
             if (!h.over) {
                 pendingByNumber.put(h.number, h);
@@ -203,7 +204,7 @@
                 admission.held(now, h.destination);
             }
         }
-        recovery = new Recovery(loop, clock::wallMs, held, h -> {
+        recovery = new Recovery(loop, clock::wallMs, messages, h -> {
             int messageClass = config.classes().indexOf(h.messageClass);
             return messageClass >= 0 && config.settings().classes().get(messageClass).inOrder();
         }, new RecoverySteps());
@@ -212,28 +213,28 @@
 
     private final class RecoverySteps implements Recovery.Steps {
         @Override
-        public void sendAnswer(Held held) {
+        public void sendAnswer(Held message) {
             beginIteration();
-            enqueueAnswers(held);
+            enqueueAnswers(message);
         }
 
         @Override
-        public void resume(Held held, long leftMs) {
-            int messageClass = config.classes().indexOf(held.messageClass);
+        public void resume(Held message, long leftMs) {
+            int messageClass = config.classes().indexOf(message.messageClass);
             double now = beginIteration();
             if (messageClass < 0) {
-                Log.warn("message.class_gone", "message", held.id, "class", held.messageClass);
-                end(held, new Held.Notice(Held.End.FAILED, 0));
+                Log.warn("message.class_gone", "message", message.id, "class", message.messageClass);
+                end(message, new Held.Notice(Held.End.FAILED, 0));
                 return;
             }
             long wall = clock.wallMs();
             List<Relay.EarlierAttempt> earlier = new ArrayList<>();
-            for (Held.Attempt a : held.attempts) {
+            for (Held.Attempt a : message.attempts) {
                 // If the wall clock was set back, an attempt must not seem to start in the future.
                 double sentAt = now - Math.max(0, wall - a.sentAtMs);
                 earlier.add(new Relay.EarlierAttempt(endpointNumber(a.endpoint), sentAt, !a.neverRan));
             }
-            guarded(() -> relay.resumed(now, message(held, messageClass, leftMs), earlier));
+            guarded(() -> relay.resumed(now, policyMessage(message, messageClass, leftMs), earlier));
         }
 
         @Override
@@ -250,10 +251,10 @@
         }
     }
 
-    private Relay.Message message(Held held, int messageClass, double leftMs) {
+    private Relay.Message policyMessage(Held message, int messageClass, double leftMs) {
         double left = Math.min(leftMs, config.settings().classes().get(messageClass).deadlineMs());
-        return new Relay.Message(held.number, messageClass, Math.max(0, config.tenants().indexOf(held.tenant)),
-                held.key, left, held.destination);
+        return new Relay.Message(message.number, messageClass, Math.max(0, config.tenants().indexOf(message.tenant)),
+                message.key, left, message.destination);
     }
 
     // ---- event-loop iterations ----
@@ -332,11 +333,11 @@
     }
 
     /** Whether the process after a restart may send the message if its end is not recorded. */
-    private boolean mayResend(Held held) {
-        int messageClass = config.classes().indexOf(held.messageClass);
+    private boolean mayResend(Held message) {
+        int messageClass = config.classes().indexOf(message.messageClass);
         boolean unsafe = messageClass < 0
                 || config.settings().classes().get(messageClass).effect() == Relay.Effect.UNSAFE;
-        return !unsafe || held.attempts.stream().allMatch(a -> a.neverRan);
+        return !unsafe || message.attempts.stream().allMatch(a -> a.neverRan);
     }
 
     private void writeFailed(String event, String message, IOException cause) {
@@ -347,26 +348,26 @@
     /** Writes the iteration's records so far. If that fails, the calls decided in this iteration are not made. */
     private void recordIteration() {
         if (!flushJournal()) {
-            decidedCalls.forEach(d -> dropUnrecorded(d.held, d.attempt));
+            decidedCalls.forEach(d -> dropUnrecorded(d.message, d.attempt));
             decidedCalls.clear();
         }
     }
 
     /** Drops an attempt that is not in the journal: after a restart it could run twice. */
-    private void dropUnrecorded(Held held, int attempt) {
-        Log.warn("attempt.unrecorded", "message", held.id, "attempt", attempt);
-        endNotStarted(held, attempt);
+    private void dropUnrecorded(Held message, int attempt) {
+        Log.warn("attempt.unrecorded", "message", message.id, "attempt", attempt);
+        endNotStarted(message, attempt);
     }
 
     /** Ends an attempt of which not one byte has been written, so that it has certainly not run. */
-    private void endNotStarted(Held held, int attempt) {
-        held.attempts.get(attempt).neverRan = true;
-        loop.execute(() -> attemptEnded(held, attempt, Relay.Outcome.NOT_SENT, false, 0, Relay.Told.NOTHING, 0));
+    private void endNotStarted(Held message, int attempt) {
+        message.attempts.get(attempt).neverRan = true;
+        loop.execute(() -> attemptEnded(message, attempt, Relay.Outcome.NOT_SENT, false, 0, Relay.Told.NOTHING, 0));
     }
 
     private void startCalls() {
         if (!decidedCalls.isEmpty() && now() - iterationMs > STALE_DECISION_MS) {
-            decidedCalls.forEach(d -> delayedCalls.put(attemptKey(d.held.number, d.attempt), d));
+            decidedCalls.forEach(d -> delayedCalls.put(attemptKey(d.message.number, d.attempt), d));
             // Scheduled instead of executed, so that the loop polls its sockets in between.
             loop.schedule(LoggedTask.of("sender.calls", this::startDelayedCalls), 0, TimeUnit.MILLISECONDS);
         } else {
@@ -379,21 +380,21 @@
         List<DecidedCall> delayed = List.copyOf(delayedCalls.values());
         delayedCalls.clear();
         for (DecidedCall d : delayed) {
-            if (relay.mayBegin(now(), d.held.number, d.attempt)) {
+            if (relay.mayBegin(now(), d.message.number, d.attempt)) {
                 startCall(d);
             } else {
-                endNotStarted(d.held, d.attempt);
+                endNotStarted(d.message, d.attempt);
             }
         }
     }
 
     private void startCall(DecidedCall d) {
         if (FLOW_ENABLED) {
-            Flow.step("out", d.held.id, d.attempt, d.held.destination, endpointIds.get(d.endpoint));
+            Flow.step("out", d.message.id, d.attempt, d.message.destination, endpointIds.get(d.endpoint));
         }
         long decidedNanos = startNanos + (long) (d.atMs * 1e6);
-        runningAttempts.put(attemptKey(d.held.number, d.attempt),
-                transport.attempt(d.held, d.attempt, d.endpoint, d.timing, decidedNanos));
+        runningAttempts.put(attemptKey(d.message.number, d.attempt),
+                transport.attempt(d.message, d.attempt, d.endpoint, d.timing, decidedNanos));
     }
 
     /** Logs an unexpected exception. One in the handling of a message must not end the process and affect the others. */
@@ -417,18 +418,18 @@
 
     @Override
     public void send(long message, long endpoint, Relay.Within timing) {
-        Held held = pendingByNumber.get(message);
-        int number = held.attempts.size();
+        Held pending = pendingByNumber.get(message);
+        int number = pending.attempts.size();
         Held.Attempt attempt = new Held.Attempt(endpointIds.get(endpoint), clock.wallMs());
         try {
-            journal.attempt(held, attempt);
+            journal.attempt(pending, attempt);
         } catch (IOException e) {
-            writeFailed("journal.attempt_unwritten", held.id, e);
-            held.attempts.add(attempt);
-            dropUnrecorded(held, number);
+            writeFailed("journal.attempt_unwritten", pending.id, e);
+            pending.attempts.add(attempt);
+            dropUnrecorded(pending, number);
             return;
         }
-        decidedCalls.add(new DecidedCall(held, number, endpoint, timing, iterationMs));
+        decidedCalls.add(new DecidedCall(pending, number, endpoint, timing, iterationMs));
     }
 
     @Override
@@ -437,7 +438,7 @@
         startCalls();
         DecidedCall delayed = delayedCalls.remove(attemptKey(message, attempt));
         if (delayed != null) {
-            endNotStarted(delayed.held, attempt);
+            endNotStarted(delayed.message, attempt);
             return;
         }
         Transport.Attempt call = runningAttempts.get(attemptKey(message, attempt));
@@ -487,9 +488,9 @@
 
     @Override
     public void suspicionChanged(Relay.Suspicion suspicion) {
-        Held held = pendingByNumber.get(suspicion.message());
-        OutageLog.suspicionChanged(suspicion, endpointIds.getOrDefault(suspicion.endpoint(), ""), held == null ? "" : held.id,
-                iterationMs);
+        Held message = pendingByNumber.get(suspicion.message());
+        OutageLog.suspicionChanged(suspicion, endpointIds.getOrDefault(suspicion.endpoint(), ""),
+                message == null ? "" : message.id, iterationMs);
     }
 
     @Override
@@ -517,56 +518,56 @@
         }
     }
 
-    private void end(Held held, Held.Notice notice) {
-        finish(held, false);
-        OutageLog.undelivered(held, notice);
-        LatenessLog.messageEnded(held, clock.wallMs() - held.deadlineMs, ANSWER_RESERVE_MS, ready);
+    private void end(Held message, Held.Notice notice) {
+        finish(message, false);
+        OutageLog.undelivered(message, notice);
+        LatenessLog.messageEnded(message, clock.wallMs() - message.deadlineMs, ANSWER_RESERVE_MS, ready);
         if (TRACE_ENABLED) {
-            traceLateAnswer(held);
+            traceLateAnswer(message);
         }
-        endedIds.add(held.id, false);
+        endedIds.add(message.id, false);
         try {
-            journal.owed(held, notice);
+            journal.owed(message, notice);
         } catch (IOException e) {
-            writeFailed("journal.notice_unwritten", held.id, e);
+            writeFailed("journal.notice_unwritten", message.id, e);
         }
-        durability.enqueue(held);
+        durability.enqueue(message);
     }
 
     /** Passes the message's answer to the channel of each recipient. */
-    private void enqueueAnswers(Held held) {
-        if (held.claims.isEmpty()) {
-            recordCompleted(held);
+    private void enqueueAnswers(Held message) {
+        if (message.claims.isEmpty()) {
+            recordCompleted(message);
         }
         // A copy, since a recipient whose answer is acknowledged at once is removed.
-        for (Claim claim : List.copyOf(held.claims)) {
+        for (Claim claim : List.copyOf(message.claims)) {
             AnswerChannel outcome = answerChannels.get(claim.outcome());
             if (outcome == null) {
-                Log.warn("outcome.not_set_up", "outcome", claim.outcome(), "message", held.id);
+                Log.warn("outcome.not_set_up", "outcome", claim.outcome(), "message", message.id);
             } else {
-                outcome.enqueue(new Owed(held, claim));
+                outcome.enqueue(new Owed(message, claim));
             }
         }
     }
 
     /** Records that the message has ended and that no answer is pending. */
-    private void recordCompleted(Held held) {
+    private void recordCompleted(Held message) {
         try {
-            journal.ended(held);
+            journal.ended(message);
         } catch (IOException e) {
-            writeFailed("journal.end_unwritten", held.id, e);
+            writeFailed("journal.end_unwritten", message.id, e);
         }
     }
 
-    private void traceLateAnswer(Held held) {
+    private void traceLateAnswer(Held message) {
         long wall = clock.wallMs();
-        held.endedMs = wall;
-        if (wall - held.deadlineMs > LATE_ANSWER_MS) {
-            int attempts = held.attempts.size();
-            long first = attempts == 0 ? wall : held.attempts.get(0).sentAtMs;
-            long last = attempts == 0 ? wall : held.attempts.get(attempts - 1).sentAtMs;
-            trace.lateEnd(held.id, wall - held.takenMs, wall - held.deadlineMs, attempts, Math.max(0, first - held.takenMs),
-                    wall - last, ready ? "in service" : "in recovery");
+        message.endedMs = wall;
+        if (wall - message.deadlineMs > LATE_ANSWER_MS) {
+            int attempts = message.attempts.size();
+            long first = attempts == 0 ? wall : message.attempts.get(0).sentAtMs;
+            long last = attempts == 0 ? wall : message.attempts.get(attempts - 1).sentAtMs;
+            trace.lateEnd(message.id, wall - message.takenMs, wall - message.deadlineMs, attempts,
+                    Math.max(0, first - message.takenMs), wall - last, ready ? "in service" : "in recovery");
         }
     }
 
@@ -586,63 +587,63 @@
         }
     }
 
-    private void attemptEnded(Held held, int attempt, Relay.Outcome outcome, boolean gone,
+    private void attemptEnded(Held message, int attempt, Relay.Outcome outcome, boolean gone,
             double waitMs, Relay.Told told, double took) {
         double now = beginIteration();
         if (FLOW_ENABLED) {
-            Flow.step("end", held.id, attempt, held.destination, held.attempts.get(attempt).endpoint, outcome,
+            Flow.step("end", message.id, attempt, message.destination, message.attempts.get(attempt).endpoint, outcome,
                     (long) took, told.perSecond(), told.left());
         }
         try {
-            if (!held.over && (gone || outcome == Relay.Outcome.DELIVERED)) {
-                delivered(held);
-            } else if (!held.over && !outcome.mayHaveRun()) {
-                journal.neverRan(held, attempt);
+            if (!message.over && (gone || outcome == Relay.Outcome.DELIVERED)) {
+                delivered(message);
+            } else if (!message.over && !outcome.mayHaveRun()) {
+                journal.neverRan(message, attempt);
             }
         } catch (IOException e) {
-            writeFailed("journal.end_unwritten", held.id, e);
+            writeFailed("journal.end_unwritten", message.id, e);
         }
-        boolean finished = held.over;
-        OutageLog.attemptEnded(held, attempt, outcome, took);
-        guarded(() -> relay.attemptEnded(now, new Relay.AttemptEnd(held.number, attempt, outcome, took,
+        boolean finished = message.over;
+        OutageLog.attemptEnded(message, attempt, outcome, took);
+        guarded(() -> relay.attemptEnded(now, new Relay.AttemptEnd(message.number, attempt, outcome, took,
                 finished, waitMs, told)));
     }
 
     /** Records a delivery, and answers only the recipients that asked for answers of delivered messages. */
-    private void delivered(Held held) throws IOException {
-        finish(held, true);
-        endedIds.add(held.id, true);
-        held.claims.removeIf(claim -> !claim.delivered());
-        if (held.claims.isEmpty()) {
-            journal.ended(held);
+    private void delivered(Held message) throws IOException {
+        finish(message, true);
+        endedIds.add(message.id, true);
+        message.claims.removeIf(claim -> !claim.delivered());
+        if (message.claims.isEmpty()) {
+            journal.ended(message);
             return;
         }
         try {
-            journal.owed(held, new Held.Notice(Held.End.DELIVERED, 0));
+            journal.owed(message, new Held.Notice(Held.End.DELIVERED, 0));
         } finally {
-            enqueueAnswers(held);
+            enqueueAnswers(message);
         }
     }
 
-    private void finish(Held held, boolean delivered) {
+    private void finish(Held message, boolean delivered) {
         if (FLOW_ENABLED) {
-            Flow.step("over", held.id, delivered, held.destination, clock.wallMs() - held.takenMs);
+            Flow.step("over", message.id, delivered, message.destination, clock.wallMs() - message.takenMs);
         }
-        held.over = true;
-        pendingByNumber.remove(held.number);
-        pendingById.remove(held.id);
-        admission.ended(now(), held.destination, delivered);
+        message.over = true;
+        pendingByNumber.remove(message.number);
+        pendingById.remove(message.id);
+        admission.ended(now(), message.destination, delivered);
     }
 
     private void acknowledged(Owed answer) {
-        Held held = answer.held();
-        if (TRACE_ENABLED && held.endedMs > 0 && clock.wallMs() - held.deadlineMs > LATE_ANSWER_MS) {
-            trace.lateNotice(held.id, clock.wallMs() - held.endedMs, clock.wallMs() - held.deadlineMs);
+        Held message = answer.held();
+        if (TRACE_ENABLED && message.endedMs > 0 && clock.wallMs() - message.deadlineMs > LATE_ANSWER_MS) {
+            trace.lateNotice(message.id, clock.wallMs() - message.endedMs, clock.wallMs() - message.deadlineMs);
         }
         try {
-            journal.heard(held, answer.claim());
+            journal.heard(message, answer.claim());
         } catch (IOException e) {
-            writeFailed("journal.told_unwritten", held.id, e);
+            writeFailed("journal.told_unwritten", message.id, e);
         }
     }
 
@@ -739,35 +740,35 @@
         /** A message that was refused or failed is not accepted again under its id, and gets no further answer. */
         @Override
         public Optional<DuplicateState> checkDuplicate(String id, Claim claim) {
-            Held held = pendingById.get(id);
-            if (held != null) {
-                claim(held, claim);
+            Held message = pendingById.get(id);
+            if (message != null) {
+                claim(message, claim);
                 return Optional.of(DuplicateState.PENDING);
             }
             return endedIds.delivered(id).map(delivered ->
                     delivered ? DuplicateState.DELIVERED : DuplicateState.UNDELIVERED);
         }
 
-        private void claim(Held held, Claim claim) {
+        private void claim(Held message, Claim claim) {
             // This client will be told that the message is pending, so it must not be withdrawn if another client disconnects.
-            acceptanceReported(held, true);
-            if (!held.claims.contains(claim)) {
+            acceptanceReported(message, true);
+            if (!message.claims.contains(claim)) {
                 try {
-                    journal.claimed(held, claim);
+                    journal.claimed(message, claim);
                 } catch (IOException e) {
                     // The recipient gets its answer from this process; after a restart it is not known any more.
-                    Log.error("journal.claim_unwritten", "message", held.id, "cause", e);
-                    held.claims.add(claim);
+                    Log.error("journal.claim_unwritten", "message", message.id, "cause", e);
+                    message.claims.add(claim);
                 }
             }
         }
 
         @Override
         public void recipientGone(String outcome, String peer) {
-            for (Held held : List.copyOf(pendingByNumber.values())) {
-                for (Claim claim : List.copyOf(held.claims)) {
+            for (Held message : List.copyOf(pendingByNumber.values())) {
+                for (Claim claim : List.copyOf(message.claims)) {
                     if (claim.outcome().equals(outcome) && claim.peer().equals(peer) && !claim.keep()) {
-                        acknowledged(new Owed(held, claim));
+                        acknowledged(new Owed(message, claim));
                     }
                 }
             }
@@ -792,21 +793,21 @@
                 return new SubmissionResult(Optional.empty(), verdict.reason(), verdict.waitMs(),
                         verdict.destination());
             }
-            Held held = new Held(journal.nextNumber(), s.id(), s.messageClass(), s.tenant(), s.key(),
+            Held message = new Held(journal.nextNumber(), s.id(), s.messageClass(), s.tenant(), s.key(),
                     s.destination(), clock.wallMs() + leftMs, s.body(), s.recipients().get(0));
-            held.reserveMs = (int) reserveMs;
-            held.claims.addAll(s.recipients().subList(1, s.recipients().size()));
+            message.reserveMs = (int) reserveMs;
+            message.claims.addAll(s.recipients().subList(1, s.recipients().size()));
             // The end of the iteration writes the collected records, whether or not this message is accepted.
             beginIteration();
             try {
-                journal.taken(held);
+                journal.taken(message);
             } catch (IOException e) {
                 return SubmissionResult.refused("no room", 0);
             }
-            pendingByNumber.put(held.number, held);
-            pendingById.put(held.id, held);
-            admission.held(now(), held.destination);
-            return SubmissionResult.accepted(held);
+            pendingByNumber.put(message.number, message);
+            pendingById.put(message.id, message);
+            admission.held(now(), message.destination);
+            return SubmissionResult.accepted(message);
         }
 
         @Override
@@ -815,29 +816,29 @@
         }
 
         @Override
-        public boolean isRecorded(Held held) {
-            return journal.isRecorded(held);
+        public boolean isRecorded(Held message) {
+            return journal.isRecorded(message);
         }
 
         @Override
-        public void acceptanceReported(Held held, boolean received) {
-            if (held.told || held.over) {
+        public void acceptanceReported(Held message, boolean received) {
+            if (message.told || message.over) {
                 return;
             }
-            held.told = received;
+            message.told = received;
             if (!received) {
                 // A client that was not told of the acceptance gets no answer, and will submit the message again.
-                finish(held, false);
+                finish(message, false);
                 try {
-                    journal.withdrawn(held);
+                    journal.withdrawn(message);
                 } catch (IOException e) {
-                    writeFailed("journal.withdrawal_unwritten", held.id, e);
+                    writeFailed("journal.withdrawal_unwritten", message.id, e);
                 }
                 return;
             }
-            int messageClass = config.classes().indexOf(held.messageClass);
-            double left = held.deadlineMs - clock.wallMs();
-            guarded(() -> relay.message(beginIteration(), message(held, messageClass, left)));
+            int messageClass = config.classes().indexOf(message.messageClass);
+            double left = message.deadlineMs - clock.wallMs();
+            guarded(() -> relay.message(beginIteration(), policyMessage(message, messageClass, left)));
         }
     }
 
--- a/src/main/java/slipfield/core/Transport.java
+++ b/src/main/java/slipfield/core/Transport.java
@@ -68,7 +68,7 @@
      * @param timing its times, counted from {@code decidedNanos}; an attempt that can't be written in time ends as
      *     {@link Relay.Outcome#NOT_SENT}
      */
-    Attempt attempt(Held held, int number, long endpoint, Relay.Within timing, long decidedNanos);
+    Attempt attempt(Held message, int number, long endpoint, Relay.Within timing, long decidedNanos);
 
     /** Closes the idle connections to an endpoint; the next attempt opens a new one. */
     void closeIdle(long endpoint);
--- a/src/main/java/slipfield/outcome/PlatformNotices.java
+++ b/src/main/java/slipfield/outcome/PlatformNotices.java
@@ -143,11 +143,11 @@
     }
 
     private String line(Owed answer) {
-        Held held = answer.held();
-        Held.Notice notice = held.owed.orElseThrow();
+        Held message = answer.held();
+        Held.Notice notice = message.owed.orElseThrow();
         boolean refused = notice.end() == Held.End.REFUSED;
         ObjectNode line = json.createObjectNode();
-        line.put("ref", held.id);
+        line.put("ref", message.id);
         line.put("result", refused ? "bounced" : "dead");
         if (refused && notice.waitMs() > 0) {
             line.put("wait_ms", Math.round(notice.waitMs()));
--- a/src/main/java/slipfield/outcome/ends/ClientAnswers.java
+++ b/src/main/java/slipfield/outcome/ends/ClientAnswers.java
@@ -181,9 +181,9 @@
     private String lines(Peer peer) {
         StringBuilder lines = new StringBuilder();
         for (Entry entry : peer.entries) {
-            Held held = entry.answer.held();
-            Held.Notice notice = held.owed.orElseThrow();
-            ObjectNode line = json.createObjectNode().put("cursor", epoch + "-" + entry.position).put("ref", held.id)
+            Held message = entry.answer.held();
+            Held.Notice notice = message.owed.orElseThrow();
+            ObjectNode line = json.createObjectNode().put("cursor", epoch + "-" + entry.position).put("ref", message.id)
                     .put("end", switch (notice.end()) {
                         case DELIVERED -> "delivered";
                         case REFUSED -> "refused";
