--- a/src/main/java/slipfield/core/OutageLog.java
+++ b/src/main/java/slipfield/core/OutageLog.java
@@ -2,7 +2,7 @@
 
 import slipfield.journal.Held;
 import slipfield.log.Log;
-import slipfield.policy.Relay;
+import slipfield.policy.DeliveryPolicy;
 
 /**
  * Logs what operators need to follow an outage: the health of each endpoint as this sender sees it, by the ids of the endpoint
@@ -18,10 +18,10 @@
      * @param endpoint its id in the endpoint list
      * @param now the policy's time in ms
      */
-    static void endpointChanged(Relay.EndpointChange change, String endpoint, double now) {
+    static void endpointChanged(DeliveryPolicy.EndpointChange change, String endpoint, double now) {
         Log.info("endpoint.health", "endpoint", endpoint, "number", change.endpoint(), "destination", change.destination(),
-                "from", change.from(), "to", change.to(), "reason", change.reason(), "failed", change.fruitless().failed(),
-                "refused", change.fruitless().refused(), "over_ms", overMs(change.fruitless(), now));
+                "from", change.from(), "to", change.to(), "reason", change.reason(), "failed", change.undeliveredCalls().failed(),
+                "refused", change.undeliveredCalls().refused(), "over_ms", overMs(change.undeliveredCalls(), now));
     }
 
     /**
@@ -30,19 +30,19 @@
      * @param endpoint the endpoint that caused the change, or empty
      * @param message the message that caused the change, or empty
      */
-    static void suspicionChanged(Relay.Suspicion suspicion, String endpoint, String message, double now) {
+    static void suspicionChanged(DeliveryPolicy.Suspicion suspicion, String endpoint, String message, double now) {
         Log.info(suspicion.begins() ? "destination.suspected" : "destination.cleared", "destination", suspicion.destination(),
-                "endpoint", endpoint, "message", message, "failed", suspicion.fruitless().failed(), "refused",
-                suspicion.fruitless().refused(), "over_ms", overMs(suspicion.fruitless(), now));
+                "endpoint", endpoint, "message", message, "failed", suspicion.undeliveredCalls().failed(), "refused",
+                suspicion.undeliveredCalls().refused(), "over_ms", overMs(suspicion.undeliveredCalls(), now));
     }
 
-    private static long overMs(Relay.Fruitless fruitless, double now) {
+    private static long overMs(DeliveryPolicy.UndeliveredCalls fruitless, double now) {
         return fruitless.failed() + fruitless.refused() == 0 ? 0 : Math.round(now - fruitless.since());
     }
 
     /** An attempt has ended after {@code tookMs} milliseconds; logged unless it delivered the message or was cancelled. */
-    static void attemptEnded(Held message, int attempt, Relay.Outcome outcome, double tookMs) {
-        if (outcome != Relay.Outcome.DELIVERED && outcome != Relay.Outcome.CANCELLED) {
+    static void attemptEnded(Held message, int attempt, DeliveryPolicy.AttemptOutcome outcome, double tookMs) {
+        if (outcome != DeliveryPolicy.AttemptOutcome.DELIVERED && outcome != DeliveryPolicy.AttemptOutcome.CANCELLED) {
             Log.warn("attempt.failed", "message", message.id, "attempt", attempt, "destination", message.destination, "endpoint",
                     message.attempts.get(attempt).endpoint, "outcome", outcome, "took_ms", Math.round(tookMs));
         }
--- a/src/main/java/slipfield/core/Sender.java
+++ b/src/main/java/slipfield/core/Sender.java
@@ -26,7 +26,7 @@
 import slipfield.journal.Owed;
 import slipfield.log.Log;
 import slipfield.log.LoggedTask;
-import slipfield.policy.Relay;
+import slipfield.policy.DeliveryPolicy;
 import slipfield.retry.Retry;
 import slipfield.trace.Flow;
 import slipfield.trace.Trace;
@@ -36,7 +36,7 @@
  * decisions, and reports events to it. It makes no delivery decision itself. Only the event loop's thread uses the policy and
  * the components, so there are no locks.
  */
-public final class Sender implements Relay.Actions {
+public final class Sender implements DeliveryPolicy.Actions {
     /**
      * A message is ended this long before its client's deadline. The client's budget runs from when it sent the request, but on
      * a busy CPU the request may wait unread for the 400 ms that its client waits, and the notice takes an iteration or two of
@@ -94,7 +94,7 @@
     private final List<DecidedCall> decidedCalls = new ArrayList<>();
     /** Calls decided in an iteration that took long, which are checked again before they start, by {@link #attemptKey}. */
     private final Map<Long, DecidedCall> delayedCalls = new LinkedHashMap<>();
-    private final Relay relay;
+    private final DeliveryPolicy policy;
     private final Admission admission;
     private final Trace trace = TRACE_ENABLED ? new Trace(System.err) : null;
     private Recovery recovery;
@@ -118,7 +118,7 @@
     }
 
     /** A call that the policy has decided; {@code atMs}: the policy's time of the iteration in which it was decided. */
-    private record DecidedCall(Held message, int attempt, long endpoint, Relay.Within timing,
+    private record DecidedCall(Held message, int attempt, long endpoint, DeliveryPolicy.AttemptTiming timing,
             double atMs) {
     }
 
@@ -135,7 +135,7 @@
         this.admission = new Admission(config.maxOpen());
         this.acceptMs = acceptMs;
         this.drainMs = drainMs;
-        this.relay = Relay.create(config.settings(), config.seed(), this);
+        this.policy = DeliveryPolicy.create(config.settings(), config.seed(), this);
     }
 
     /**
@@ -187,13 +187,13 @@
         for (Map.Entry<String, Journal.Health> known : journal.health().entrySet()) {
             Journal.Health health = known.getValue();
             double since = now - Math.max(0, wall - health.sinceMs());
-            relay.recalled(now, endpointNumber(known.getKey()),
-                    new Relay.Health(health.state(), since, health.carriedPerMs()));
+            policy.healthRestored(now, endpointNumber(known.getKey()),
+                    new DeliveryPolicy.Health(health.state(), since, health.carriedPerMs()));
         }
-        for (Map.Entry<Journal.PaceOf, Relay.Pace> known : journal.paces().entrySet()) {
+        for (Map.Entry<Journal.PaceOf, DeliveryPolicy.SendRate> known : journal.paces().entrySet()) {
             String route = known.getKey().route();
-            relay.recalled(now, known.getKey().destination(),
-                    route.isEmpty() ? Relay.SHARED : endpointNumber(route), known.getValue());
+            policy.sendRateRestored(now, known.getKey().destination(),
+                    route.isEmpty() ? DeliveryPolicy.ALL_ROUTES : endpointNumber(route), known.getValue());
         }
         List<Held> messages = journal.held();
         for (Held h : messages) {
@@ -228,13 +228,13 @@
                 return;
             }
             long wall = clock.wallMs();
-            List<Relay.EarlierAttempt> earlier = new ArrayList<>();
+            List<DeliveryPolicy.PreviousAttempt> earlier = new ArrayList<>();
             for (Held.Attempt a : message.attempts) {
                 // If the wall clock was set back, an attempt must not seem to start in the future.
                 double sentAt = now - Math.max(0, wall - a.sentAtMs);
-                earlier.add(new Relay.EarlierAttempt(endpointNumber(a.endpoint), sentAt, !a.neverRan));
+                earlier.add(new DeliveryPolicy.PreviousAttempt(endpointNumber(a.endpoint), sentAt, !a.neverRan));
             }
-            guarded(() -> relay.resumed(now, policyMessage(message, messageClass, leftMs), earlier));
+            guarded(() -> policy.messageRestored(now, policyMessage(message, messageClass, leftMs), earlier));
         }
 
         @Override
@@ -251,9 +251,9 @@
         }
     }
 
-    private Relay.Message policyMessage(Held message, int messageClass, double leftMs) {
+    private DeliveryPolicy.Message policyMessage(Held message, int messageClass, double leftMs) {
         double left = Math.min(leftMs, config.settings().classes().get(messageClass).deadlineMs());
-        return new Relay.Message(message.number, messageClass, Math.max(0, config.tenants().indexOf(message.tenant)),
+        return new DeliveryPolicy.Message(message.number, messageClass, Math.max(0, config.tenants().indexOf(message.tenant)),
                 message.key, left, message.destination);
     }
 
@@ -277,7 +277,7 @@
     private void endIteration() {
         long begun = TRACE_ENABLED ? enterTrace(Trace.Part.MODULE) : 0;
         try {
-            relay.endTurn(iterationMs);
+            policy.endIteration(iterationMs);
         } catch (RuntimeException e) {
             logFault(e);
         } finally {
@@ -318,7 +318,7 @@
     private final class JournalListener implements Durability.Listener {
         @Override
         public void recordingChanged(boolean possible) {
-            guarded(() -> relay.recording(beginIteration(), possible));
+            guarded(() -> policy.recordingChanged(beginIteration(), possible));
         }
 
         @Override
@@ -336,7 +336,7 @@
     private boolean mayResend(Held message) {
         int messageClass = config.classes().indexOf(message.messageClass);
         boolean unsafe = messageClass < 0
-                || config.settings().classes().get(messageClass).effect() == Relay.Effect.UNSAFE;
+                || config.settings().classes().get(messageClass).repeatSafety() == DeliveryPolicy.RepeatSafety.UNSAFE;
         return !unsafe || message.attempts.stream().allMatch(a -> a.neverRan);
     }
 
@@ -362,7 +362,8 @@
     /** Ends an attempt of which not one byte has been written, so that it has certainly not run. */
     private void endNotStarted(Held message, int attempt) {
         message.attempts.get(attempt).neverRan = true;
-        loop.execute(() -> attemptEnded(message, attempt, Relay.Outcome.NOT_SENT, false, 0, Relay.Told.NOTHING, 0));
+        loop.execute(() -> attemptEnded(message, attempt, DeliveryPolicy.AttemptOutcome.NOT_SENT, false, 0,
+                DeliveryPolicy.LimitReport.NOTHING, 0));
     }
 
     private void startCalls() {
@@ -380,7 +381,7 @@
         List<DecidedCall> delayed = List.copyOf(delayedCalls.values());
         delayedCalls.clear();
         for (DecidedCall d : delayed) {
-            if (relay.mayBegin(now(), d.message.number, d.attempt)) {
+            if (policy.mayBegin(now(), d.message.number, d.attempt)) {
                 startCall(d);
             } else {
                 endNotStarted(d.message, d.attempt);
@@ -417,7 +418,7 @@
     // ---- actions of the policy ----
 
     @Override
-    public void send(long message, long endpoint, Relay.Within timing) {
+    public void send(long message, long endpoint, DeliveryPolicy.AttemptTiming timing) {
         Held pending = pendingByNumber.get(message);
         int number = pending.attempts.size();
         Held.Attempt attempt = new Held.Attempt(endpointIds.get(endpoint), clock.wallMs());
@@ -472,7 +473,7 @@
             if (TRACE_ENABLED) {
                 trace.late(now - time);
             }
-            guarded(() -> relay.wake(now));
+            guarded(() -> policy.wake(now));
         }, Math.max(0, nanos), TimeUnit.NANOSECONDS);
     }
 
@@ -482,29 +483,29 @@
     }
 
     @Override
-    public void endpointChanged(Relay.EndpointChange change) {
+    public void endpointChanged(DeliveryPolicy.EndpointChange change) {
         OutageLog.endpointChanged(change, endpointIds.get(change.endpoint()), iterationMs);
     }
 
     @Override
-    public void suspicionChanged(Relay.Suspicion suspicion) {
+    public void suspicionChanged(DeliveryPolicy.Suspicion suspicion) {
         Held message = pendingByNumber.get(suspicion.message());
         OutageLog.suspicionChanged(suspicion, endpointIds.getOrDefault(suspicion.endpoint(), ""),
                 message == null ? "" : message.id, iterationMs);
     }
 
     @Override
-    public void remember(long endpoint, Relay.Health health) {
+    public void saveHealth(long endpoint, DeliveryPolicy.Health health) {
         long ago = (long) (iterationMs - health.since());
         remember(endpointIds.get(endpoint), new Journal.Health(health.state(), clock.wallMs() - ago,
                 health.carriedPerMs()));
     }
 
     @Override
-    public void remember(long destination, long route, Relay.Pace pace) {
+    public void saveSendRate(long destination, long route, DeliveryPolicy.SendRate pace) {
         try {
             journal.pace(new Journal.PaceOf(destination,
-                    route == Relay.SHARED ? "" : endpointIds.get(route)), pace);
+                    route == DeliveryPolicy.ALL_ROUTES ? "" : endpointIds.get(route)), pace);
         } catch (IOException e) {
             writeFailed("journal.pace_unwritten", "", e);
         }
@@ -576,26 +577,27 @@
     private final class AttemptEnds implements Transport.AttemptListener {
         @Override
         public boolean mayBegin(Transport.Attempt call) {
-            return relay.mayBegin(now(), call.message().number, call.number());
+            return policy.mayBegin(now(), call.message().number, call.number());
         }
 
         @Override
-        public void ended(Transport.Attempt call, Relay.Outcome outcome, boolean gone, double waitMs, Relay.Told told) {
+        public void ended(Transport.Attempt call, DeliveryPolicy.AttemptOutcome outcome, boolean gone, double waitMs,
+                DeliveryPolicy.LimitReport told) {
             runningAttempts.remove(attemptKey(call.message().number, call.number()));
             double took = (System.nanoTime() - call.startedNanos()) / 1e6;
             attemptEnded(call.message(), call.number(), outcome, gone, waitMs, told, took);
         }
     }
 
-    private void attemptEnded(Held message, int attempt, Relay.Outcome outcome, boolean gone,
-            double waitMs, Relay.Told told, double took) {
+    private void attemptEnded(Held message, int attempt, DeliveryPolicy.AttemptOutcome outcome, boolean gone,
+            double waitMs, DeliveryPolicy.LimitReport told, double took) {
         double now = beginIteration();
         if (FLOW_ENABLED) {
             Flow.step("end", message.id, attempt, message.destination, message.attempts.get(attempt).endpoint, outcome,
-                    (long) took, told.perSecond(), told.left());
+                    (long) took, told.perSecond(), told.remainingShare());
         }
         try {
-            if (!message.over && (gone || outcome == Relay.Outcome.DELIVERED)) {
+            if (!message.over && (gone || outcome == DeliveryPolicy.AttemptOutcome.DELIVERED)) {
                 delivered(message);
             } else if (!message.over && !outcome.mayHaveRun()) {
                 journal.neverRan(message, attempt);
@@ -605,7 +607,7 @@
         }
         boolean finished = message.over;
         OutageLog.attemptEnded(message, attempt, outcome, took);
-        guarded(() -> relay.attemptEnded(now, new Relay.AttemptEnd(message.number, attempt, outcome, took,
+        guarded(() -> policy.attemptEnded(now, new DeliveryPolicy.AttemptEnd(message.number, attempt, outcome, took,
                 finished, waitMs, told)));
     }
 
@@ -649,7 +651,7 @@
 
     private void endpointsChanged(String directory, boolean fresh, boolean complete, List<Directory.Entry> reported) {
         EndpointCatalogue.Change change = catalogue.update(directory, complete, reported);
-        List<Relay.Endpoint> list = new ArrayList<>();
+        List<DeliveryPolicy.Endpoint> list = new ArrayList<>();
         for (Directory.Entry e : change.entries()) {
             long number = endpointNumber(e.id());
             if (FLOW_ENABLED) {
@@ -657,11 +659,11 @@
             }
             knownDestinations.add(e.destination());
             transport.updateEndpoint(number, e.address(), e.serving());
-            list.add(new Relay.Endpoint(number, e.destination(), Math.max(0, config.kinds().indexOf(e.kind())),
+            list.add(new DeliveryPolicy.Endpoint(number, e.destination(), Math.max(0, config.kinds().indexOf(e.kind())),
                     Math.max(0, config.zones().indexOf(e.zone())), e.serving(), e.weight(), e.gone()));
         }
         forgetRemoved(change.complete(), change.entries());
-        guarded(() -> relay.endpoints(beginIteration(), change.complete(), list));
+        guarded(() -> policy.endpointsChanged(beginIteration(), change.complete(), list));
         recovery.listAvailable(fresh);
     }
 
@@ -694,7 +696,7 @@
                 long number = endpointNumbers.remove(removed.getKey());
                 endpointIds.remove(number);
                 transport.forget(number);
-                remember(removed.getKey(), new Journal.Health(Relay.State.UP, 0, 0));
+                remember(removed.getKey(), new Journal.Health(DeliveryPolicy.State.UP, 0, 0));
             }
             return old;
         });
@@ -728,8 +730,8 @@
 
         @Override
         public boolean needsKey(String messageClass) {
-            return config.settings().classes().get(config.classes().indexOf(messageClass)).effect()
-                    == Relay.Effect.KEYED;
+            return config.settings().classes().get(config.classes().indexOf(messageClass)).repeatSafety()
+                    == DeliveryPolicy.RepeatSafety.KEYED;
         }
 
         @Override
@@ -838,7 +840,7 @@
             }
             int messageClass = config.classes().indexOf(message.messageClass);
             double left = message.deadlineMs - clock.wallMs();
-            guarded(() -> relay.message(beginIteration(), policyMessage(message, messageClass, left)));
+            guarded(() -> policy.messageAccepted(beginIteration(), policyMessage(message, messageClass, left)));
         }
     }
 
@@ -852,7 +854,7 @@
         long begun = System.nanoTime();
         loop.execute(() -> {
             closing = true;
-            guarded(() -> relay.closing(beginIteration(), iterationMs + drainMs));
+            guarded(() -> policy.shutdownScheduled(beginIteration(), iterationMs + drainMs));
             loop.schedule(() -> {
                 frontends.forEach(Frontend::close);
                 awaitIdle(begun);
--- a/src/main/java/slipfield/core/Transport.java
+++ b/src/main/java/slipfield/core/Transport.java
@@ -2,7 +2,7 @@
 
 import java.net.SocketAddress;
 import slipfield.journal.Held;
-import slipfield.policy.Relay;
+import slipfield.policy.DeliveryPolicy;
 
 /**
  * Makes attempts to deliver messages to endpoints, and reports the end of each attempt exactly once. All methods are called on
@@ -31,7 +31,7 @@
     interface AttemptListener {
         /**
          * Whether an attempt that was decided earlier may still start, now that its connection is open. If false, not one byte
-         * of it is written and it ends as {@link Relay.Outcome#NOT_SENT}. By default it may.
+         * of it is written and it ends as {@link DeliveryPolicy.AttemptOutcome#NOT_SENT}. By default it may.
          */
         default boolean mayBegin(Attempt attempt) {
             return true;
@@ -45,7 +45,8 @@
          * @param waitMs the delay that the endpoint requested, in milliseconds, or 0
          * @param limitReport the rate limit that the destination reported
          */
-        void ended(Attempt attempt, Relay.Outcome outcome, boolean gone, double waitMs, Relay.Told limitReport);
+        void ended(Attempt attempt, DeliveryPolicy.AttemptOutcome outcome, boolean gone, double waitMs,
+                DeliveryPolicy.LimitReport limitReport);
     }
 
     /** Starts the maintenance of open connections. */
@@ -66,9 +67,9 @@
      *
      * @param number the number of the attempt among those of the message, from 0
      * @param timing its times, counted from {@code decidedNanos}; an attempt that can't be written in time ends as
-     *     {@link Relay.Outcome#NOT_SENT}
+     *     {@link DeliveryPolicy.AttemptOutcome#NOT_SENT}
      */
-    Attempt attempt(Held message, int number, long endpoint, Relay.Within timing, long decidedNanos);
+    Attempt attempt(Held message, int number, long endpoint, DeliveryPolicy.AttemptTiming timing, long decidedNanos);
 
     /** Closes the idle connections to an endpoint; the next attempt opens a new one. */
     void closeIdle(long endpoint);
--- a/src/test/java/slipfield/core/SenderPortsTest.java
+++ b/src/test/java/slipfield/core/SenderPortsTest.java
@@ -32,7 +32,7 @@
 import slipfield.journal.Held;
 import slipfield.journal.LifeClock;
 import slipfield.journal.Owed;
-import slipfield.policy.Relay;
+import slipfield.policy.DeliveryPolicy;
 import slipfield.standin.Stub;
 import slipfield.trace.Trace;
 
@@ -65,7 +65,7 @@
                 implements Transport.Attempt {
             @Override
             public void cancel() {
-                listener.ended(this, Relay.Outcome.CANCELLED, false, 0, Relay.Told.NOTHING);
+                listener.ended(this, DeliveryPolicy.AttemptOutcome.CANCELLED, false, 0, DeliveryPolicy.LimitReport.NOTHING);
             }
         }
 
@@ -93,7 +93,8 @@
                 }
 
                 @Override
-                public Attempt attempt(Held held, int number, long endpoint, Relay.Within timing, long decidedNanos) {
+                public Attempt attempt(Held held, int number, long endpoint, DeliveryPolicy.AttemptTiming timing,
+                        long decidedNanos) {
                     RunningAttempt attempt = new RunningAttempt(held, number, System.nanoTime(), listener);
                     running.add(attempt);
                     return attempt;
@@ -227,11 +228,11 @@
         });
     }
 
-    private void end(Relay.Outcome outcome) throws Exception {
+    private void end(DeliveryPolicy.AttemptOutcome outcome) throws Exception {
         Stub.await("an attempt", () -> !world.running.isEmpty());
         World.RunningAttempt attempt = world.running.remove(0);
         onLoop(() -> {
-            attempt.listener().ended(attempt, outcome, false, 0, Relay.Told.NOTHING);
+            attempt.listener().ended(attempt, outcome, false, 0, DeliveryPolicy.LimitReport.NOTHING);
             return null;
         });
     }
@@ -247,8 +248,8 @@
     void aDeliveryIsReportedOnceToARecipientThatAskedForItAndNotToThePlatform() throws Exception {
         assertEquals("accepted", submit("one", "order", KEPT));
         assertEquals("accepted", submit("two", "order", Claim.PLATFORM));
-        end(Relay.Outcome.DELIVERED);
-        end(Relay.Outcome.DELIVERED);
+        end(DeliveryPolicy.AttemptOutcome.DELIVERED);
+        end(DeliveryPolicy.AttemptOutcome.DELIVERED);
         awaitAnswers("one queuedesk-1 DELIVERED");
         restart();
         assertEquals(1, world.sent.size());
@@ -269,7 +270,8 @@
             // Runs when the loop polls its sockets next, as the answer would that is unread in one of them.
             sender.loop().schedule(() -> {
                 requestedNanos.set(System.nanoTime());
-                refused.listener().ended(refused, Relay.Outcome.FULL, false, DELAY_MS, Relay.Told.NOTHING);
+                refused.listener().ended(refused, DeliveryPolicy.AttemptOutcome.FULL, false, DELAY_MS,
+                        DeliveryPolicy.LimitReport.NOTHING);
             }, 0, TimeUnit.MILLISECONDS);
             String result = submit("decided", "order", Claim.PLATFORM);
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(LONG_ITERATION_MS));
@@ -325,7 +327,7 @@
         assertEquals("accepted", submit("one", "once", Claim.PLATFORM));
         assertEquals("PENDING", submit("one", "once", KEPT));
         assertEquals("PENDING", submit("one", "once", KEPT));
-        end(Relay.Outcome.ERROR);
+        end(DeliveryPolicy.AttemptOutcome.ERROR);
         awaitAnswers("one platform FAILED", "one queuedesk-1 FAILED");
         assertTrue(world.running.isEmpty(), "one message, one attempt");
     }
@@ -335,7 +337,7 @@
         assertEquals("accepted", submit("one", "order", KEPT));
         assertEquals("PENDING", submit("one", "order", DROPPED));
         restart();
-        end(Relay.Outcome.DELIVERED);
+        end(DeliveryPolicy.AttemptOutcome.DELIVERED);
         awaitAnswers("one queuedesk-1 DELIVERED", "one queuedesk-2 DELIVERED");
         restart();
         assertEquals(2, world.sent.size(), "no recipient gets a second answer");
@@ -353,7 +355,7 @@
             return second;
         });
         assertEquals("PENDING", duplicate);
-        end(Relay.Outcome.DELIVERED);
+        end(DeliveryPolicy.AttemptOutcome.DELIVERED);
         awaitAnswers("one queuedesk-2 DELIVERED", "one queuedesk-1 DELIVERED");
     }
 
@@ -367,8 +369,8 @@
             return null;
         });
         world.acknowledging.remove("queue");
-        end(Relay.Outcome.DELIVERED);
-        end(Relay.Outcome.DELIVERED);
+        end(DeliveryPolicy.AttemptOutcome.DELIVERED);
+        end(DeliveryPolicy.AttemptOutcome.DELIVERED);
         Stub.await("both have ended", () -> submit("two", "order", DROPPED).equals("DELIVERED")
                 && submit("one", "order", KEPT).equals("DELIVERED"));
         assertEquals(List.of(), world.sent);
@@ -382,7 +384,7 @@
         assertEquals("accepted", submit("one", "once", Claim.PLATFORM));
         assertEquals("PENDING", submit("one", "once", KEPT));
         world.acknowledging.remove("queue");
-        end(Relay.Outcome.ERROR);
+        end(DeliveryPolicy.AttemptOutcome.ERROR);
         awaitAnswers("one platform FAILED");
         world.acknowledging.add("queue");
         restart();
@@ -399,7 +401,7 @@
         });
         assertEquals(2, onLoop(() -> world.serving.size()), "the new endpoint and that of the other directory");
         assertEquals("accepted", submit("one", "order", KEPT));
-        end(Relay.Outcome.DELIVERED);
+        end(DeliveryPolicy.AttemptOutcome.DELIVERED);
         awaitAnswers("one queuedesk-1 DELIVERED");
     }
 }
