--- a/src/main/java/slipfield/core/AnswerPolling.java
+++ b/src/main/java/slipfield/core/AnswerPolling.java
@@ -1,7 +1,7 @@
 package slipfield.core;
 
 import java.util.function.Consumer;
-import slipfield.journal.Claim;
+import slipfield.journal.AnswerRecipient;
 
 /**
  * Lets clients poll for the final answers of their messages. A frontend passes the requests and the answers on. All methods are
@@ -15,7 +15,7 @@
     }
 
     /** The recipient to register for a message whose client polls for its answer under this name. */
-    Claim recipient(String peer);
+    AnswerRecipient recipient(String peer);
 
     /**
      * Requests the answers that a client has not acknowledged yet.
--- a/src/main/java/slipfield/core/Durability.java
+++ b/src/main/java/slipfield/core/Durability.java
@@ -6,7 +6,7 @@
 import java.util.Deque;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
-import slipfield.journal.Held;
+import slipfield.journal.PendingMessage;
 import slipfield.journal.Journal;
 import slipfield.log.Log;
 
@@ -31,7 +31,7 @@
         void recordingChanged(boolean possible);
 
         /** The final answer of this message may be sent. */
-        void send(Held ended);
+        void send(PendingMessage ended);
 
         /** Milliseconds since 1970, by the clock of this process. */
         long wallMs();
@@ -39,10 +39,10 @@
 
     private final EventLoop loop;
     private final Journal journal;
-    private final Predicate<Held> mayResend;
+    private final Predicate<PendingMessage> mayResend;
     private final Listener listener;
     /** Ended messages whose answer is not sent yet. */
-    private final Deque<Held> ended = new ArrayDeque<>();
+    private final Deque<PendingMessage> ended = new ArrayDeque<>();
     private boolean complete = true;
     private long incompleteSinceNanos;
     private long lastTryNanos;
@@ -50,19 +50,19 @@
     private long pauseMs = RETRY_MS;
 
     /** {@code mayResend}: whether the process after a restart would send the message again if its end is not recorded. */
-    Durability(EventLoop loop, Journal journal, Predicate<Held> mayResend, Listener listener) {
+    Durability(EventLoop loop, Journal journal, Predicate<PendingMessage> mayResend, Listener listener) {
         this.loop = loop;
         this.journal = journal;
         this.mayResend = mayResend;
         this.listener = listener;
-        journal.repairedByOwner();
+        journal.useExplicitRepair();
     }
 
     /** Writes the collected records. Returns false if any of them, or of those before, is not in the file. */
     boolean flush() {
         if (!complete && System.nanoTime() - lastTryNanos < TimeUnit.MILLISECONDS.toNanos(pauseMs)) {
             // Each try writes everything that is held, so it is not made in every iteration.
-            journal.discard();
+            journal.discardBatch();
             return false;
         }
         long startedNanos = System.nanoTime();
@@ -70,7 +70,7 @@
         IOException cause = null;
         for (int i = 0; i < tries; i++) {
             try {
-                journal.flush();
+                journal.flushBatch();
                 journal.repair();
                 succeeded();
                 return true;
@@ -129,14 +129,14 @@
     }
 
     /** Adds the message to those whose answer {@link #release} sends as soon as allowed. */
-    void enqueue(Held message) {
+    void enqueue(PendingMessage message) {
         ended.add(message);
     }
 
     /** Sends the answers that may be sent now. */
     void release() {
         for (int left = ended.size(); left > 0; left--) {
-            Held message = ended.remove();
+            PendingMessage message = ended.remove();
             if (!journal.isStale() || !mayResend.test(message) || isDue(message)) {
                 listener.send(message);
             } else {
@@ -145,7 +145,7 @@
         }
     }
 
-    private boolean isDue(Held message) {
+    private boolean isDue(PendingMessage message) {
         boolean due = listener.wallMs() >= message.deadlineMs + message.reserveMs - SEND_BEFORE_MS;
         if (due) {
             Log.error("message.end_told_unwritten", "message", message.id);
--- a/src/main/java/slipfield/core/LatenessLog.java
+++ b/src/main/java/slipfield/core/LatenessLog.java
@@ -1,6 +1,6 @@
 package slipfield.core;
 
-import slipfield.journal.Held;
+import slipfield.journal.PendingMessage;
 import slipfield.log.Log;
 
 /** Logs for operators how late this sender is, if that exceeds what any deadline allows for: it gets too little CPU time. */
@@ -24,7 +24,7 @@
      * @param lateMs how long after its time it has ended, in milliseconds
      * @param reserveMs how much of that was reserved for late answers
      */
-    static void messageEnded(Held message, long lateMs, long reserveMs, boolean inService) {
+    static void messageEnded(PendingMessage message, long lateMs, long reserveMs, boolean inService) {
         if (lateMs > reserveMs) {
             Log.warn("message.ended_late", "message", message.id, "late_ms", lateMs - reserveMs, "attempts",
                     message.attempts.size(), "in", inService ? "service" : "recovery");
--- a/src/main/java/slipfield/core/MessageIntake.java
+++ b/src/main/java/slipfield/core/MessageIntake.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import java.util.Optional;
-import slipfield.journal.Claim;
-import slipfield.journal.Held;
+import slipfield.journal.AnswerRecipient;
+import slipfield.journal.PendingMessage;
 
 /** Accepts messages from frontends. All methods are called on the core's event loop. */
 public interface MessageIntake {
@@ -14,7 +14,7 @@
      * @param recipients the recipients of the final answer, one at least
      */
     record Submission(String id, String messageClass, String tenant, Optional<String> key, long destination,
-                      long budgetMs, byte[] body, List<Claim> recipients) {
+                      long budgetMs, byte[] body, List<AnswerRecipient> recipients) {
     }
 
     /**
@@ -25,9 +25,9 @@
      * @param waitMs after how many milliseconds the client should try again, or 0
      * @param destination whether {@code waitMs} applies to the submission's destination only
      */
-    record SubmissionResult(Optional<Held> message, String reason, long waitMs, boolean destination) {
+    record SubmissionResult(Optional<PendingMessage> message, String reason, long waitMs, boolean destination) {
         /** The submission is accepted as this message. */
-        public static SubmissionResult accepted(Held message) {
+        public static SubmissionResult accepted(PendingMessage message) {
             return new SubmissionResult(Optional.of(message), "", 0, false);
         }
 
@@ -66,7 +66,7 @@
      * The state of the message with this id, if it is pending or ended recently. A pending message gets the recipient as a
      * further one, unless it has it already.
      */
-    Optional<DuplicateState> checkDuplicate(String id, Claim claim);
+    Optional<DuplicateState> checkDuplicate(String id, AnswerRecipient claim);
 
     /** A peer of this answer channel has left for good: its answers that need not be kept are dropped. */
     void recipientGone(String outcome, String peer);
@@ -87,7 +87,7 @@
      * Whether a message is in the journal although {@link #writeAccepted} returned false: the write failed after its record, and
      * the file could not be truncated. The process after a restart would send it, so it counts as accepted.
      */
-    default boolean isRecorded(Held message) {
+    default boolean isRecorded(PendingMessage message) {
         return false;
     }
 
@@ -95,5 +95,5 @@
      * Reports whether the client has received the acceptance of its message. False if it never will, as for each message that
      * {@link #writeAccepted} did not write.
      */
-    void acceptanceReported(Held message, boolean received);
+    void acceptanceReported(PendingMessage message, boolean received);
 }
--- a/src/main/java/slipfield/core/OutageLog.java
+++ b/src/main/java/slipfield/core/OutageLog.java
@@ -1,6 +1,6 @@
 package slipfield.core;
 
-import slipfield.journal.Held;
+import slipfield.journal.PendingMessage;
 import slipfield.log.Log;
 import slipfield.policy.DeliveryPolicy;
 
@@ -41,7 +41,7 @@
     }
 
     /** An attempt has ended after {@code tookMs} milliseconds; logged unless it delivered the message or was cancelled. */
-    static void attemptEnded(Held message, int attempt, DeliveryPolicy.AttemptOutcome outcome, double tookMs) {
+    static void attemptEnded(PendingMessage message, int attempt, DeliveryPolicy.AttemptOutcome outcome, double tookMs) {
         if (outcome != DeliveryPolicy.AttemptOutcome.DELIVERED && outcome != DeliveryPolicy.AttemptOutcome.CANCELLED) {
             Log.warn("attempt.failed", "message", message.id, "attempt", attempt, "destination", message.destination, "endpoint",
                     message.attempts.get(attempt).endpoint, "outcome", outcome, "took_ms", Math.round(tookMs));
@@ -49,8 +49,8 @@
     }
 
     /** A message was refused or failed. */
-    static void undelivered(Held message, Held.Notice notice) {
-        Log.warn("message.undelivered", "message", message.id, "destination", message.destination, "end", notice.end(),
+    static void undelivered(PendingMessage message, PendingMessage.Notice notice) {
+        Log.warn("message.undelivered", "message", message.id, "destination", message.destination, "end", notice.answer(),
                 "attempts", message.attempts.size());
     }
 }
--- a/src/main/java/slipfield/core/Recovery.java
+++ b/src/main/java/slipfield/core/Recovery.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 import java.util.function.Predicate;
-import slipfield.journal.Held;
+import slipfield.journal.PendingMessage;
 import slipfield.log.Log;
 import slipfield.log.LoggedTask;
 import slipfield.recovery.Plan;
@@ -28,10 +28,10 @@
     /** Handles each restored message, and the end of each stage. */
     interface Steps {
         /** The message ended in an earlier process: its answer has to be sent. */
-        void sendAnswer(Held message);
+        void sendAnswer(PendingMessage message);
 
         /** Returns a message to the policy; {@code leftMs} is 0 or less if its time is up. */
-        void resume(Held message, long leftMs);
+        void resume(PendingMessage message, long leftMs);
 
         /** All answers that were due at the start have been sent. */
         void answersSent();
@@ -42,11 +42,11 @@
 
     private final EventLoop loop;
     private final LongSupplier wallMs;
-    private final Predicate<Held> inOrder;
+    private final Predicate<PendingMessage> inOrder;
     private final Steps steps;
     /** Messages that are not restored yet, by number. */
-    private final Map<Long, Held> left = new HashMap<>();
-    private final List<Held> all;
+    private final Map<Long, PendingMessage> left = new HashMap<>();
+    private final List<PendingMessage> all;
     private Plan plan;
     /** Whether there is an endpoint list that may be used; if no message is left to send, any list will do. */
     private boolean listUsable;
@@ -55,13 +55,13 @@
     private int resumed;
     private int batches;
 
-    Recovery(EventLoop loop, LongSupplier wallMs, List<Held> messages, Predicate<Held> inOrder, Steps steps) {
+    Recovery(EventLoop loop, LongSupplier wallMs, List<PendingMessage> messages, Predicate<PendingMessage> inOrder, Steps steps) {
         this.loop = loop;
         this.wallMs = wallMs;
         this.inOrder = inOrder;
         this.steps = steps;
         this.all = messages;
-        for (Held h : messages) {
+        for (PendingMessage h : messages) {
             left.put(h.number, h);
         }
     }
@@ -98,15 +98,15 @@
     private void plan() {
         long now = wallMs.getAsLong();
         List<Plan.Item> items = new ArrayList<>();
-        for (Held message : all) {
+        for (PendingMessage message : all) {
             if (left.containsKey(message.number)) {
-                items.add(new Plan.Item(message.number, leftMs(message, now), message.over, inOrder.test(message)));
+                items.add(new Plan.Item(message.number, leftMs(message, now), message.finished, inOrder.test(message)));
             }
         }
         plan = new Plan(items);
     }
 
-    private static long leftMs(Held message, long now) {
+    private static long leftMs(PendingMessage message, long now) {
         return Plan.leftMs(message.deadlineMs - now, message.reserveMs,
                 message.attempts.stream().allMatch(a -> a.neverRan));
     }
@@ -146,7 +146,7 @@
         batches++;
         long now = wallMs.getAsLong();
         for (long number : slice.numbers()) {
-            Held message = left.remove(number);
+            PendingMessage message = left.remove(number);
             try {
                 restore(message, slice.step(), now);
             } catch (RuntimeException e) {
@@ -157,7 +157,7 @@
         scheduleStep(0);
     }
 
-    private void restore(Held message, Plan.Step step, long now) {
+    private void restore(PendingMessage message, Plan.Step step, long now) {
         if (step == Plan.Step.TELL) {
             steps.sendAnswer(message);
         } else {
--- a/src/main/java/slipfield/core/Sender.java
+++ b/src/main/java/slipfield/core/Sender.java
@@ -19,11 +19,11 @@
 import java.util.concurrent.TimeUnit;
 import slipfield.admission.Admission;
 import slipfield.config.Config;
-import slipfield.journal.Claim;
-import slipfield.journal.Held;
+import slipfield.journal.AnswerRecipient;
+import slipfield.journal.PendingMessage;
 import slipfield.journal.Journal;
-import slipfield.journal.LifeClock;
-import slipfield.journal.Owed;
+import slipfield.journal.ProcessClock;
+import slipfield.journal.PendingAnswer;
 import slipfield.log.Log;
 import slipfield.log.LoggedTask;
 import slipfield.policy.DeliveryPolicy;
@@ -75,7 +75,7 @@
     private final EventLoop loop = group.next();
     private final CountDownLatch stopped = new CountDownLatch(1);
     private final long startNanos = System.nanoTime();
-    private final LifeClock clock;
+    private final ProcessClock clock;
     private final CountDownLatch overdueAnswersSent = new CountDownLatch(1);
     private final Map<String, Long> endpointNumbers = new HashMap<>();
     private final Map<Long, String> endpointIds = new HashMap<>();
@@ -83,8 +83,8 @@
     /** The endpoints that are not in the endpoint list, and since when. */
     private final Map<String, Long> removedSince = new HashMap<>();
     /** Pending messages without a final answer, by the policy's number and by the client's id. */
-    private final Map<Long, Held> pendingByNumber = new HashMap<>();
-    private final Map<String, Held> pendingById = new HashMap<>();
+    private final Map<Long, PendingMessage> pendingByNumber = new HashMap<>();
+    private final Map<String, PendingMessage> pendingById = new HashMap<>();
     private EndedIds endedIds;
     /** Destinations that an endpoint list has named. */
     private final Set<Long> knownDestinations = new HashSet<>();
@@ -118,7 +118,7 @@
     }
 
     /** A call that the policy has decided; {@code atMs}: the policy's time of the iteration in which it was decided. */
-    private record DecidedCall(Held message, int attempt, long endpoint, DeliveryPolicy.AttemptTiming timing,
+    private record DecidedCall(PendingMessage message, int attempt, long endpoint, DeliveryPolicy.AttemptTiming timing,
             double atMs) {
     }
 
@@ -128,7 +128,7 @@
      * @param acceptMs how long after the start of a drain new connections are accepted, in milliseconds
      * @param drainMs how long after the start of a drain attempts in progress may take, in milliseconds
      */
-    public Sender(Config config, SenderComponents components, long acceptMs, long drainMs, LifeClock clock) {
+    public Sender(Config config, SenderComponents components, long acceptMs, long drainMs, ProcessClock clock) {
         this.config = config;
         this.components = components;
         this.clock = clock;
@@ -144,7 +144,7 @@
      */
     public List<InetSocketAddress> start() throws IOException {
         Journal opened = Retry.within(Retry.START_MS, "journal", () -> new Journal(config.state(), config.diskBytes(),
-                config.settings().maxAttempts(), clock.mark(), FileChannel::open));
+                config.settings().maxAttempts(), clock.reference(), FileChannel::open));
         loop.submit(() -> open(opened)).syncUninterruptibly();
         try {
             overdueAnswersSent.await();
@@ -172,7 +172,7 @@
         directories = components.directories(loop);
         catalogue = new EndpointCatalogue(List.copyOf(directories.keySet()));
         if (TRACE_ENABLED) {
-            journal.traced(trace);
+            journal.setTrace(trace);
             components.enableTrace(trace);
         }
         recover();
@@ -183,22 +183,22 @@
     private void recover() {
         long wall = clock.wallMs();
         double now = beginIteration();
-        journal.over().forEach(endedIds::add);
-        for (Map.Entry<String, Journal.Health> known : journal.health().entrySet()) {
+        journal.completedIds().forEach(endedIds::add);
+        for (Map.Entry<String, Journal.Health> known : journal.endpointHealth().entrySet()) {
             Journal.Health health = known.getValue();
             double since = now - Math.max(0, wall - health.sinceMs());
             policy.healthRestored(now, endpointNumber(known.getKey()),
                     new DeliveryPolicy.Health(health.state(), since, health.carriedPerMs()));
         }
-        for (Map.Entry<Journal.PaceOf, DeliveryPolicy.SendRate> known : journal.paces().entrySet()) {
-            String route = known.getKey().route();
+        for (Map.Entry<Journal.SendRateKey, DeliveryPolicy.SendRate> known : journal.sendRates().entrySet()) {
+            String route = known.getKey().endpoint();
             policy.sendRateRestored(now, known.getKey().destination(),
                     route.isEmpty() ? DeliveryPolicy.ALL_ROUTES : endpointNumber(route), known.getValue());
         }
-        List<Held> messages = journal.held();
-        for (Held h : messages) {
-            h.told = true;
-            if (!h.over) {
+        List<PendingMessage> messages = journal.pendingMessages();
+        for (PendingMessage h : messages) {
+            h.acceptanceReported = true;
+            if (!h.finished) {
                 pendingByNumber.put(h.number, h);
                 pendingById.put(h.id, h);
                 admission.held(now, h.destination);
@@ -213,23 +213,23 @@
 
     private final class RecoverySteps implements Recovery.Steps {
         @Override
-        public void sendAnswer(Held message) {
+        public void sendAnswer(PendingMessage message) {
             beginIteration();
             enqueueAnswers(message);
         }
 
         @Override
-        public void resume(Held message, long leftMs) {
+        public void resume(PendingMessage message, long leftMs) {
             int messageClass = config.classes().indexOf(message.messageClass);
             double now = beginIteration();
             if (messageClass < 0) {
                 Log.warn("message.class_gone", "message", message.id, "class", message.messageClass);
-                end(message, new Held.Notice(Held.End.FAILED, 0));
+                end(message, new PendingMessage.Notice(PendingMessage.FinalAnswer.FAILED, 0));
                 return;
             }
             long wall = clock.wallMs();
             List<DeliveryPolicy.PreviousAttempt> earlier = new ArrayList<>();
-            for (Held.Attempt a : message.attempts) {
+            for (PendingMessage.Attempt a : message.attempts) {
                 // If the wall clock was set back, an attempt must not seem to start in the future.
                 double sentAt = now - Math.max(0, wall - a.sentAtMs);
                 earlier.add(new DeliveryPolicy.PreviousAttempt(endpointNumber(a.endpoint), sentAt, !a.neverRan));
@@ -251,7 +251,7 @@
         }
     }
 
-    private DeliveryPolicy.Message policyMessage(Held message, int messageClass, double leftMs) {
+    private DeliveryPolicy.Message policyMessage(PendingMessage message, int messageClass, double leftMs) {
         double left = Math.min(leftMs, config.settings().classes().get(messageClass).deadlineMs());
         return new DeliveryPolicy.Message(message.number, messageClass, Math.max(0, config.tenants().indexOf(message.tenant)),
                 message.key, left, message.destination);
@@ -266,7 +266,7 @@
     private double beginIteration() {
         if (!iterationOpen) {
             iterationOpen = true;
-            journal.begin();
+            journal.beginBatch();
             iterationMs = now();
             loop.execute(this::endIteration);
         }
@@ -310,7 +310,7 @@
     private boolean flushJournal() {
         boolean written = durability.flush();
         if (iterationOpen) {
-            journal.begin();
+            journal.beginBatch();
         }
         return written;
     }
@@ -322,7 +322,7 @@
         }
 
         @Override
-        public void send(Held ended) {
+        public void send(PendingMessage ended) {
             enqueueAnswers(ended);
         }
 
@@ -333,7 +333,7 @@
     }
 
     /** Whether the process after a restart may send the message if its end is not recorded. */
-    private boolean mayResend(Held message) {
+    private boolean mayResend(PendingMessage message) {
         int messageClass = config.classes().indexOf(message.messageClass);
         boolean unsafe = messageClass < 0
                 || config.settings().classes().get(messageClass).repeatSafety() == DeliveryPolicy.RepeatSafety.UNSAFE;
@@ -354,13 +354,13 @@
     }
 
     /** Drops an attempt that is not in the journal: after a restart it could run twice. */
-    private void dropUnrecorded(Held message, int attempt) {
+    private void dropUnrecorded(PendingMessage message, int attempt) {
         Log.warn("attempt.unrecorded", "message", message.id, "attempt", attempt);
         endNotStarted(message, attempt);
     }
 
     /** Ends an attempt of which not one byte has been written, so that it has certainly not run. */
-    private void endNotStarted(Held message, int attempt) {
+    private void endNotStarted(PendingMessage message, int attempt) {
         message.attempts.get(attempt).neverRan = true;
         loop.execute(() -> attemptEnded(message, attempt, DeliveryPolicy.AttemptOutcome.NOT_SENT, false, 0,
                 DeliveryPolicy.LimitReport.NOTHING, 0));
@@ -419,11 +419,11 @@
 
     @Override
     public void send(long message, long endpoint, DeliveryPolicy.AttemptTiming timing) {
-        Held pending = pendingByNumber.get(message);
+        PendingMessage pending = pendingByNumber.get(message);
         int number = pending.attempts.size();
-        Held.Attempt attempt = new Held.Attempt(endpointIds.get(endpoint), clock.wallMs());
+        PendingMessage.Attempt attempt = new PendingMessage.Attempt(endpointIds.get(endpoint), clock.wallMs());
         try {
-            journal.attempt(pending, attempt);
+            journal.recordAttempt(pending, attempt);
         } catch (IOException e) {
             writeFailed("journal.attempt_unwritten", pending.id, e);
             pending.attempts.add(attempt);
@@ -455,12 +455,12 @@
 
     @Override
     public void refuse(long message, double waitMs) {
-        end(pendingByNumber.get(message), new Held.Notice(Held.End.REFUSED, waitMs));
+        end(pendingByNumber.get(message), new PendingMessage.Notice(PendingMessage.FinalAnswer.REFUSED, waitMs));
     }
 
     @Override
     public void fail(long message) {
-        end(pendingByNumber.get(message), new Held.Notice(Held.End.FAILED, 0));
+        end(pendingByNumber.get(message), new PendingMessage.Notice(PendingMessage.FinalAnswer.FAILED, 0));
     }
 
     @Override
@@ -489,7 +489,7 @@
 
     @Override
     public void suspicionChanged(DeliveryPolicy.Suspicion suspicion) {
-        Held message = pendingByNumber.get(suspicion.message());
+        PendingMessage message = pendingByNumber.get(suspicion.message());
         OutageLog.suspicionChanged(suspicion, endpointIds.getOrDefault(suspicion.endpoint(), ""),
                 message == null ? "" : message.id, iterationMs);
     }
@@ -504,7 +504,7 @@
     @Override
     public void saveSendRate(long destination, long route, DeliveryPolicy.SendRate pace) {
         try {
-            journal.pace(new Journal.PaceOf(destination,
+            journal.recordSendRate(new Journal.SendRateKey(destination,
                     route == DeliveryPolicy.ALL_ROUTES ? "" : endpointIds.get(route)), pace);
         } catch (IOException e) {
             writeFailed("journal.pace_unwritten", "", e);
@@ -513,13 +513,13 @@
 
     private void remember(String endpoint, Journal.Health health) {
         try {
-            journal.health(endpoint, health);
+            journal.recordHealth(endpoint, health);
         } catch (IOException e) {
             writeFailed("journal.health_unwritten", "", e);
         }
     }
 
-    private void end(Held message, Held.Notice notice) {
+    private void end(PendingMessage message, PendingMessage.Notice notice) {
         finish(message, false);
         OutageLog.undelivered(message, notice);
         LatenessLog.messageEnded(message, clock.wallMs() - message.deadlineMs, ANSWER_RESERVE_MS, ready);
@@ -528,7 +528,7 @@
         }
         endedIds.add(message.id, false);
         try {
-            journal.owed(message, notice);
+            journal.recordAnswer(message, notice);
         } catch (IOException e) {
             writeFailed("journal.notice_unwritten", message.id, e);
         }
@@ -536,39 +536,39 @@
     }
 
     /** Passes the message's answer to the channel of each recipient. */
-    private void enqueueAnswers(Held message) {
-        if (message.claims.isEmpty()) {
+    private void enqueueAnswers(PendingMessage message) {
+        if (message.recipients.isEmpty()) {
             recordCompleted(message);
         }
         // A copy, since a recipient whose answer is acknowledged at once is removed.
-        for (Claim claim : List.copyOf(message.claims)) {
-            AnswerChannel outcome = answerChannels.get(claim.outcome());
+        for (AnswerRecipient claim : List.copyOf(message.recipients)) {
+            AnswerChannel outcome = answerChannels.get(claim.channel());
             if (outcome == null) {
-                Log.warn("outcome.not_set_up", "outcome", claim.outcome(), "message", message.id);
+                Log.warn("outcome.not_set_up", "outcome", claim.channel(), "message", message.id);
             } else {
-                outcome.enqueue(new Owed(message, claim));
+                outcome.enqueue(new PendingAnswer(message, claim));
             }
         }
     }
 
     /** Records that the message has ended and that no answer is pending. */
-    private void recordCompleted(Held message) {
+    private void recordCompleted(PendingMessage message) {
         try {
-            journal.ended(message);
+            journal.recordCompleted(message);
         } catch (IOException e) {
             writeFailed("journal.end_unwritten", message.id, e);
         }
     }
 
-    private void traceLateAnswer(Held message) {
+    private void traceLateAnswer(PendingMessage message) {
         long wall = clock.wallMs();
-        message.endedMs = wall;
+        message.answeredMs = wall;
         if (wall - message.deadlineMs > LATE_ANSWER_MS) {
             int attempts = message.attempts.size();
             long first = attempts == 0 ? wall : message.attempts.get(0).sentAtMs;
             long last = attempts == 0 ? wall : message.attempts.get(attempts - 1).sentAtMs;
-            trace.lateEnd(message.id, wall - message.takenMs, wall - message.deadlineMs, attempts,
-                    Math.max(0, first - message.takenMs), wall - last, ready ? "in service" : "in recovery");
+            trace.lateEnd(message.id, wall - message.acceptedMs, wall - message.deadlineMs, attempts,
+                    Math.max(0, first - message.acceptedMs), wall - last, ready ? "in service" : "in recovery");
         }
     }
 
@@ -589,7 +589,7 @@
         }
     }
 
-    private void attemptEnded(Held message, int attempt, DeliveryPolicy.AttemptOutcome outcome, boolean gone,
+    private void attemptEnded(PendingMessage message, int attempt, DeliveryPolicy.AttemptOutcome outcome, boolean gone,
             double waitMs, DeliveryPolicy.LimitReport told, double took) {
         double now = beginIteration();
         if (FLOW_ENABLED) {
@@ -597,53 +597,53 @@
                     (long) took, told.perSecond(), told.remainingShare());
         }
         try {
-            if (!message.over && (gone || outcome == DeliveryPolicy.AttemptOutcome.DELIVERED)) {
+            if (!message.finished && (gone || outcome == DeliveryPolicy.AttemptOutcome.DELIVERED)) {
                 delivered(message);
-            } else if (!message.over && !outcome.mayHaveRun()) {
-                journal.neverRan(message, attempt);
+            } else if (!message.finished && !outcome.mayHaveRun()) {
+                journal.recordNeverRan(message, attempt);
             }
         } catch (IOException e) {
             writeFailed("journal.end_unwritten", message.id, e);
         }
-        boolean finished = message.over;
+        boolean finished = message.finished;
         OutageLog.attemptEnded(message, attempt, outcome, took);
         guarded(() -> policy.attemptEnded(now, new DeliveryPolicy.AttemptEnd(message.number, attempt, outcome, took,
                 finished, waitMs, told)));
     }
 
     /** Records a delivery, and answers only the recipients that asked for answers of delivered messages. */
-    private void delivered(Held message) throws IOException {
+    private void delivered(PendingMessage message) throws IOException {
         finish(message, true);
         endedIds.add(message.id, true);
-        message.claims.removeIf(claim -> !claim.delivered());
-        if (message.claims.isEmpty()) {
-            journal.ended(message);
+        message.recipients.removeIf(claim -> !claim.includesDeliveries());
+        if (message.recipients.isEmpty()) {
+            journal.recordCompleted(message);
             return;
         }
         try {
-            journal.owed(message, new Held.Notice(Held.End.DELIVERED, 0));
+            journal.recordAnswer(message, new PendingMessage.Notice(PendingMessage.FinalAnswer.DELIVERED, 0));
         } finally {
             enqueueAnswers(message);
         }
     }
 
-    private void finish(Held message, boolean delivered) {
+    private void finish(PendingMessage message, boolean delivered) {
         if (FLOW_ENABLED) {
-            Flow.step("over", message.id, delivered, message.destination, clock.wallMs() - message.takenMs);
+            Flow.step("over", message.id, delivered, message.destination, clock.wallMs() - message.acceptedMs);
         }
-        message.over = true;
+        message.finished = true;
         pendingByNumber.remove(message.number);
         pendingById.remove(message.id);
         admission.ended(now(), message.destination, delivered);
     }
 
-    private void acknowledged(Owed answer) {
-        Held message = answer.held();
-        if (TRACE_ENABLED && message.endedMs > 0 && clock.wallMs() - message.deadlineMs > LATE_ANSWER_MS) {
-            trace.lateNotice(message.id, clock.wallMs() - message.endedMs, clock.wallMs() - message.deadlineMs);
+    private void acknowledged(PendingAnswer answer) {
+        PendingMessage message = answer.message();
+        if (TRACE_ENABLED && message.answeredMs > 0 && clock.wallMs() - message.deadlineMs > LATE_ANSWER_MS) {
+            trace.lateNotice(message.id, clock.wallMs() - message.answeredMs, clock.wallMs() - message.deadlineMs);
         }
         try {
-            journal.heard(message, answer.claim());
+            journal.recordAcknowledged(message, answer.recipient());
         } catch (IOException e) {
             writeFailed("journal.told_unwritten", message.id, e);
         }
@@ -741,8 +741,8 @@
 
         /** A message that was refused or failed is not accepted again under its id, and gets no further answer. */
         @Override
-        public Optional<DuplicateState> checkDuplicate(String id, Claim claim) {
-            Held message = pendingById.get(id);
+        public Optional<DuplicateState> checkDuplicate(String id, AnswerRecipient claim) {
+            PendingMessage message = pendingById.get(id);
             if (message != null) {
                 claim(message, claim);
                 return Optional.of(DuplicateState.PENDING);
@@ -751,26 +751,26 @@
                     delivered ? DuplicateState.DELIVERED : DuplicateState.UNDELIVERED);
         }
 
-        private void claim(Held message, Claim claim) {
+        private void claim(PendingMessage message, AnswerRecipient claim) {
             // This client will be told that the message is pending, so it must not be withdrawn if another client disconnects.
             acceptanceReported(message, true);
-            if (!message.claims.contains(claim)) {
+            if (!message.recipients.contains(claim)) {
                 try {
-                    journal.claimed(message, claim);
+                    journal.recordRecipient(message, claim);
                 } catch (IOException e) {
                     // The recipient gets its answer from this process; after a restart it is not known any more.
                     Log.error("journal.claim_unwritten", "message", message.id, "cause", e);
-                    message.claims.add(claim);
+                    message.recipients.add(claim);
                 }
             }
         }
 
         @Override
         public void recipientGone(String outcome, String peer) {
-            for (Held message : List.copyOf(pendingByNumber.values())) {
-                for (Claim claim : List.copyOf(message.claims)) {
-                    if (claim.outcome().equals(outcome) && claim.peer().equals(peer) && !claim.keep()) {
-                        acknowledged(new Owed(message, claim));
+            for (PendingMessage message : List.copyOf(pendingByNumber.values())) {
+                for (AnswerRecipient claim : List.copyOf(message.recipients)) {
+                    if (claim.channel().equals(outcome) && claim.peer().equals(peer) && !claim.keepsAnswers()) {
+                        acknowledged(new PendingAnswer(message, claim));
                     }
                 }
             }
@@ -795,14 +795,14 @@
                 return new SubmissionResult(Optional.empty(), verdict.reason(), verdict.waitMs(),
                         verdict.destination());
             }
-            Held message = new Held(journal.nextNumber(), s.id(), s.messageClass(), s.tenant(), s.key(),
+            PendingMessage message = new PendingMessage(journal.nextNumber(), s.id(), s.messageClass(), s.tenant(), s.key(),
                     s.destination(), clock.wallMs() + leftMs, s.body(), s.recipients().get(0));
             message.reserveMs = (int) reserveMs;
-            message.claims.addAll(s.recipients().subList(1, s.recipients().size()));
+            message.recipients.addAll(s.recipients().subList(1, s.recipients().size()));
             // The end of the iteration writes the collected records, whether or not this message is accepted.
             beginIteration();
             try {
-                journal.taken(message);
+                journal.recordAccepted(message);
             } catch (IOException e) {
                 return SubmissionResult.refused("no room", 0);
             }
@@ -818,21 +818,21 @@
         }
 
         @Override
-        public boolean isRecorded(Held message) {
+        public boolean isRecorded(PendingMessage message) {
             return journal.isRecorded(message);
         }
 
         @Override
-        public void acceptanceReported(Held message, boolean received) {
-            if (message.told || message.over) {
+        public void acceptanceReported(PendingMessage message, boolean received) {
+            if (message.acceptanceReported || message.finished) {
                 return;
             }
-            message.told = received;
+            message.acceptanceReported = received;
             if (!received) {
                 // A client that was not told of the acceptance gets no answer, and will submit the message again.
                 finish(message, false);
                 try {
-                    journal.withdrawn(message);
+                    journal.recordWithdrawn(message);
                 } catch (IOException e) {
                     writeFailed("journal.withdrawal_unwritten", message.id, e);
                 }
--- a/src/main/java/slipfield/core/SenderComponents.java
+++ b/src/main/java/slipfield/core/SenderComponents.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import slipfield.journal.Owed;
+import slipfield.journal.PendingAnswer;
 import slipfield.trace.Trace;
 
 /** Creates the components around a core, on its event loop. The core knows them only by their ports. */
@@ -19,7 +19,7 @@
     Transport transport(EventLoop loop, Transport.AttemptListener listener);
 
     /** The answer channels, by the name that a message's recipient has for them; each reports acknowledged answers. */
-    Map<String, AnswerChannel> answerChannels(EventLoop loop, Consumer<Owed> acknowledged);
+    Map<String, AnswerChannel> answerChannels(EventLoop loop, Consumer<PendingAnswer> acknowledged);
 
     /** The sources of endpoints, by name. Endpoint ids of the first one are used unchanged, others are prefixed with the name. */
     Map<String, Directory> directories(EventLoop loop);
--- a/src/main/java/slipfield/core/Transport.java
+++ b/src/main/java/slipfield/core/Transport.java
@@ -1,7 +1,7 @@
 package slipfield.core;
 
 import java.net.SocketAddress;
-import slipfield.journal.Held;
+import slipfield.journal.PendingMessage;
 import slipfield.policy.DeliveryPolicy;
 
 /**
@@ -12,7 +12,7 @@
     /** An attempt in progress. */
     interface Attempt {
         /** The message that is delivered. */
-        Held message();
+        PendingMessage message();
 
         /** The number of this attempt among those of the message, from 0. */
         int number();
@@ -69,7 +69,7 @@
      * @param timing its times, counted from {@code decidedNanos}; an attempt that can't be written in time ends as
      *     {@link DeliveryPolicy.AttemptOutcome#NOT_SENT}
      */
-    Attempt attempt(Held message, int number, long endpoint, DeliveryPolicy.AttemptTiming timing, long decidedNanos);
+    Attempt attempt(PendingMessage message, int number, long endpoint, DeliveryPolicy.AttemptTiming timing, long decidedNanos);
 
     /** Closes the idle connections to an endpoint; the next attempt opens a new one. */
     void closeIdle(long endpoint);
--- a/src/main/java/slipfield/front/http/Intake.java
+++ b/src/main/java/slipfield/front/http/Intake.java
@@ -44,8 +44,8 @@
 import slipfield.core.AnswerPolling;
 import slipfield.core.Frontend;
 import slipfield.core.MessageIntake;
-import slipfield.journal.Claim;
-import slipfield.journal.Held;
+import slipfield.journal.AnswerRecipient;
+import slipfield.journal.PendingMessage;
 import slipfield.log.Log;
 import slipfield.log.LoggedTask;
 import slipfield.retry.Retry;
@@ -97,7 +97,7 @@
     private boolean closing;
 
     /** A message whose 202 waits for the journal. */
-    private record Taken(Client client, Held held, boolean keepAlive) {
+    private record Taken(Client client, PendingMessage held, boolean keepAlive) {
     }
 
     private record Pending(Client client, ChannelHandlerContext ctx, Object bytes) {
@@ -469,7 +469,7 @@
                 settle();
             }
             Optional<MessageIntake.DuplicateState> before = Optional.empty();
-            for (Claim claim : submission.recipients()) {
+            for (AnswerRecipient claim : submission.recipients()) {
                 before = desk.checkDuplicate(id, claim);
             }
             if (before.isPresent()) {
--- a/src/main/java/slipfield/outcome/PlatformNotices.java
+++ b/src/main/java/slipfield/outcome/PlatformNotices.java
@@ -21,8 +21,8 @@
 import java.util.function.Supplier;
 import slipfield.agent.Agent;
 import slipfield.core.AnswerChannel;
-import slipfield.journal.Held;
-import slipfield.journal.Owed;
+import slipfield.journal.PendingMessage;
+import slipfield.journal.PendingAnswer;
 import slipfield.log.Log;
 
 /**
@@ -42,17 +42,17 @@
 
     private final EventLoop loop;
     private Supplier<Agent> agents;
-    private final Consumer<Owed> acknowledged;
+    private final Consumer<PendingAnswer> acknowledged;
     private final ObjectMapper json = JsonMapper.builder().build();
     /** Notices that are in no unanswered batch. */
-    private final Deque<Owed> queue = new ArrayDeque<>();
+    private final Deque<PendingAnswer> queue = new ArrayDeque<>();
     private final List<Connection> connections = new ArrayList<>();
     private int maxInBatch = MAX_IN_BATCH;
 
     /** A connection with its unanswered batch, and whether it pauses after a failure. */
     private static final class Connection {
         private final Agent agent;
-        private List<Owed> batch = List.of();
+        private List<PendingAnswer> batch = List.of();
         private boolean paused;
 
         Connection(Agent agent) {
@@ -60,14 +60,14 @@
         }
     }
 
-    public PlatformNotices(EventLoop loop, Supplier<Agent> agents, Consumer<Owed> acknowledged) {
+    public PlatformNotices(EventLoop loop, Supplier<Agent> agents, Consumer<PendingAnswer> acknowledged) {
         this.loop = loop;
         this.agents = agents;
         this.acknowledged = acknowledged;
     }
 
     @Override
-    public void enqueue(Owed answer) {
+    public void enqueue(PendingAnswer answer) {
         queue.add(answer);
     }
 
@@ -125,7 +125,7 @@
     }
 
     private void send(Connection connection) {
-        List<Owed> batch = new ArrayList<>();
+        List<PendingAnswer> batch = new ArrayList<>();
         StringBuilder lines = new StringBuilder();
         while (!queue.isEmpty() && batch.size() < maxInBatch) {
             String line = line(queue.peek());
@@ -142,10 +142,10 @@
         connection.agent.ask(request, TIMEOUT_MS, answer -> answered(connection, answer));
     }
 
-    private String line(Owed answer) {
-        Held message = answer.held();
-        Held.Notice notice = message.owed.orElseThrow();
-        boolean refused = notice.end() == Held.End.REFUSED;
+    private String line(PendingAnswer answer) {
+        PendingMessage message = answer.message();
+        PendingMessage.Notice notice = message.pendingNotice.orElseThrow();
+        boolean refused = notice.answer() == PendingMessage.FinalAnswer.REFUSED;
         ObjectNode line = json.createObjectNode();
         line.put("ref", message.id);
         line.put("result", refused ? "bounced" : "dead");
@@ -158,7 +158,7 @@
     private void answered(Connection connection, Optional<FullHttpResponse> answer) {
         int status = answer.map(a -> a.status().code()).orElse(0);
         if (status == 204) {
-            List<Owed> sent = connection.batch;
+            List<PendingAnswer> sent = connection.batch;
             connection.batch = List.of();
             maxInBatch = MAX_IN_BATCH;
             sent.forEach(acknowledged);
--- a/src/main/java/slipfield/outcome/ends/ClientAnswers.java
+++ b/src/main/java/slipfield/outcome/ends/ClientAnswers.java
@@ -15,9 +15,9 @@
 import java.util.function.Consumer;
 import slipfield.core.AnswerChannel;
 import slipfield.core.AnswerPolling;
-import slipfield.journal.Claim;
-import slipfield.journal.Held;
-import slipfield.journal.Owed;
+import slipfield.journal.AnswerRecipient;
+import slipfield.journal.PendingMessage;
+import slipfield.journal.PendingAnswer;
 import slipfield.log.Log;
 import slipfield.log.LoggedTask;
 
@@ -38,7 +38,7 @@
 
     private final EventLoop loop;
     private final ClientsConfig.Retention retention;
-    private final Consumer<Owed> acknowledged;
+    private final Consumer<PendingAnswer> acknowledged;
     private final String epoch;
     private final JsonMapper json = JsonMapper.builder().build();
     private final Map<String, Peer> peers = new HashMap<>();
@@ -48,9 +48,9 @@
     private long bytes;
     private boolean released;
 
-    private record Entry(long position, Owed answer, long sinceNanos) {
+    private record Entry(long position, PendingAnswer answer, long sinceNanos) {
         private long size() {
-            return BYTES_PER_ANSWER + answer.held().body.length + answer.held().id.length();
+            return BYTES_PER_ANSWER + answer.message().body.length + answer.message().id.length();
         }
     }
 
@@ -94,7 +94,7 @@
      * @param epoch a text that differs for each process; cursors begin with it
      * @param acknowledged called for each answer that need not be retained any more
      */
-    public ClientAnswers(EventLoop loop, ClientsConfig.Retention retention, String epoch, Consumer<Owed> acknowledged) {
+    public ClientAnswers(EventLoop loop, ClientsConfig.Retention retention, String epoch, Consumer<PendingAnswer> acknowledged) {
         this.loop = loop;
         this.retention = retention;
         this.epoch = epoch;
@@ -103,16 +103,16 @@
     }
 
     @Override
-    public Claim recipient(String peer) {
-        return new Claim(NAME, peer, true, true);
+    public AnswerRecipient recipient(String peer) {
+        return new AnswerRecipient(NAME, peer, true, true);
     }
 
     @Override
-    public void enqueue(Owed answer) {
+    public void enqueue(PendingAnswer answer) {
         Entry entry = new Entry(nextPosition++, answer, System.nanoTime());
         all.put(entry.position, entry);
         bytes += entry.size();
-        peers.computeIfAbsent(answer.claim().peer(), p -> new Peer()).entries.addLast(entry);
+        peers.computeIfAbsent(answer.recipient().peer(), p -> new Peer()).entries.addLast(entry);
         int dropped = 0;
         while (all.size() > retention.maxAnswers() || bytes > retention.maxBytes() && all.size() > 1) {
             drop(all.values().iterator().next());
@@ -181,10 +181,10 @@
     private String lines(Peer peer) {
         StringBuilder lines = new StringBuilder();
         for (Entry entry : peer.entries) {
-            Held message = entry.answer.held();
-            Held.Notice notice = message.owed.orElseThrow();
+            PendingMessage message = entry.answer.message();
+            PendingMessage.Notice notice = message.pendingNotice.orElseThrow();
             ObjectNode line = json.createObjectNode().put("cursor", epoch + "-" + entry.position).put("ref", message.id)
-                    .put("end", switch (notice.end()) {
+                    .put("end", switch (notice.answer()) {
                         case DELIVERED -> "delivered";
                         case REFUSED -> "refused";
                         case FAILED -> "failed";
@@ -203,7 +203,7 @@
     private void drop(Entry entry) {
         all.remove(entry.position);
         bytes -= entry.size();
-        String name = entry.answer.claim().peer();
+        String name = entry.answer.recipient().peer();
         Peer peer = peers.get(name);
         peer.entries.remove(entry);
         removeIfIdle(name, peer);
--- a/src/test/java/slipfield/core/RecoveryTest.java
+++ b/src/test/java/slipfield/core/RecoveryTest.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import slipfield.journal.Claim;
-import slipfield.journal.Held;
+import slipfield.journal.AnswerRecipient;
+import slipfield.journal.PendingMessage;
 
 class RecoveryTest {
     private static final long NOW_MS = 1_000_000;
@@ -32,16 +32,16 @@
     /** Throws an exception for every third message. */
     private final class FailingSteps implements Recovery.Steps {
         @Override
-        public void sendAnswer(Held held) {
+        public void sendAnswer(PendingMessage held) {
             restore(held);
         }
 
         @Override
-        public void resume(Held held, long leftMs) {
+        public void resume(PendingMessage held, long leftMs) {
             restore(held);
         }
 
-        private void restore(Held held) {
+        private void restore(PendingMessage held) {
             restored.add(held.number);
             if (held.number % 3 == 0) {
                 throw new IllegalStateException("a failure at message " + held.number);
@@ -61,10 +61,10 @@
     /** Guards against a recovery that stops at a message whose restoration fails, after which the sender is never ready. */
     @Test
     void aFailureAtOneMessageDoesNotStopTheRecovery() throws Exception {
-        List<Held> held = new ArrayList<>();
+        List<PendingMessage> held = new ArrayList<>();
         for (long number = 0; number < MESSAGES; number++) {
-            held.add(new Held(number, "id-" + number, "once", "desk", Optional.empty(), 7, NOW_MS + (number % 2 == 0 ? -1 : 9000),
-                    new byte[0], Claim.PLATFORM));
+            held.add(new PendingMessage(number, "id-" + number, "once", "desk", Optional.empty(), 7,
+                    NOW_MS + (number % 2 == 0 ? -1 : 9000), new byte[0], AnswerRecipient.PLATFORM));
         }
         loop.submit(() -> {
             Recovery recovery = new Recovery(loop, () -> NOW_MS, held, message -> false, new FailingSteps());
--- a/src/test/java/slipfield/core/SenderPortsTest.java
+++ b/src/test/java/slipfield/core/SenderPortsTest.java
@@ -28,20 +28,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import slipfield.config.Config;
-import slipfield.journal.Claim;
-import slipfield.journal.Held;
-import slipfield.journal.LifeClock;
-import slipfield.journal.Owed;
+import slipfield.journal.AnswerRecipient;
+import slipfield.journal.PendingMessage;
+import slipfield.journal.ProcessClock;
+import slipfield.journal.PendingAnswer;
 import slipfield.policy.DeliveryPolicy;
 import slipfield.standin.Stub;
 import slipfield.trace.Trace;
 
 /** Tests what the ports of the core guarantee to frontends, transports, directories and answer channels in memory. */
 class SenderPortsTest {
-    private static final Claim KEPT = new Claim("queue", "desk-1", true, true);
+    private static final AnswerRecipient KEPT = new AnswerRecipient("queue", "desk-1", true, true);
     private static final long DELAY_MS = 600;
     private static final long LONG_ITERATION_MS = 60;
-    private static final Claim DROPPED = new Claim("queue", "desk-2", true, false);
+    private static final AnswerRecipient DROPPED = new AnswerRecipient("queue", "desk-2", true, false);
 
     @TempDir
     Path folder;
@@ -61,7 +61,7 @@
         private Transport.AttemptListener listener;
         private MessageIntake intake;
 
-        private record RunningAttempt(Held message, int number, long startedNanos, Transport.AttemptListener listener)
+        private record RunningAttempt(PendingMessage message, int number, long startedNanos, Transport.AttemptListener listener)
                 implements Transport.Attempt {
             @Override
             public void cancel() {
@@ -93,7 +93,7 @@
                 }
 
                 @Override
-                public Attempt attempt(Held held, int number, long endpoint, DeliveryPolicy.AttemptTiming timing,
+                public Attempt attempt(PendingMessage held, int number, long endpoint, DeliveryPolicy.AttemptTiming timing,
                         long decidedNanos) {
                     RunningAttempt attempt = new RunningAttempt(held, number, System.nanoTime(), listener);
                     running.add(attempt);
@@ -107,20 +107,20 @@
         }
 
         @Override
-        public Map<String, AnswerChannel> answerChannels(EventLoop loop, Consumer<Owed> acknowledged) {
+        public Map<String, AnswerChannel> answerChannels(EventLoop loop, Consumer<PendingAnswer> acknowledged) {
             Map<String, AnswerChannel> all = new LinkedHashMap<>();
             for (String name : List.of("platform", "queue")) {
                 all.put(name, new AnswerChannel() {
                     private int kept;
 
                     @Override
-                    public void enqueue(Owed answer) {
+                    public void enqueue(PendingAnswer answer) {
                         if (!acknowledging.contains(name)) {
                             kept++;
                             return;
                         }
-                        sent.add(answer.held().id + " " + name + answer.claim().peer() + " "
-                                + answer.held().owed.orElseThrow().end());
+                        sent.add(answer.message().id + " " + name + answer.recipient().peer() + " "
+                                + answer.message().pendingNotice.orElseThrow().answer());
                         acknowledged.accept(answer);
                     }
 
@@ -194,7 +194,7 @@
                 """);
         Config config = Config.read(Map.of("GW_CONFIG", file.toString(), "GW_STATE",
                 folder.resolve("state").toString()));
-        sender = new Sender(config, world, 100, 1000, LifeClock.system());
+        sender = new Sender(config, world, 100, 1000, ProcessClock.system());
         sender.start();
         Stub.await("the sender is ready", () -> onLoop(() -> world.intake.ready()));
     }
@@ -215,7 +215,7 @@
     }
 
     /** Submits a message as a frontend does: checks its id for a duplicate first. */
-    private String submit(String id, String type, Claim claim) {
+    private String submit(String id, String type, AnswerRecipient claim) {
         return onLoop(() -> {
             Optional<MessageIntake.DuplicateState> duplicate = world.intake.checkDuplicate(id, claim);
             if (duplicate.isPresent()) {
@@ -247,7 +247,7 @@
     @Test
     void aDeliveryIsReportedOnceToARecipientThatAskedForItAndNotToThePlatform() throws Exception {
         assertEquals("accepted", submit("one", "order", KEPT));
-        assertEquals("accepted", submit("two", "order", Claim.PLATFORM));
+        assertEquals("accepted", submit("two", "order", AnswerRecipient.PLATFORM));
         end(DeliveryPolicy.AttemptOutcome.DELIVERED);
         end(DeliveryPolicy.AttemptOutcome.DELIVERED);
         awaitAnswers("one queuedesk-1 DELIVERED");
@@ -262,7 +262,7 @@
      */
     @Test
     void aDelayRequestedDuringALongIterationHoldsForTheCallsItDecided() throws Exception {
-        assertEquals("accepted", submit("refused", "order", Claim.PLATFORM));
+        assertEquals("accepted", submit("refused", "order", AnswerRecipient.PLATFORM));
         Stub.await("its attempt", () -> world.running.size() == 1);
         World.RunningAttempt refused = world.running.remove(0);
         AtomicLong requestedNanos = new AtomicLong();
@@ -273,7 +273,7 @@
                 refused.listener().ended(refused, DeliveryPolicy.AttemptOutcome.FULL, false, DELAY_MS,
                         DeliveryPolicy.LimitReport.NOTHING);
             }, 0, TimeUnit.MILLISECONDS);
-            String result = submit("decided", "order", Claim.PLATFORM);
+            String result = submit("decided", "order", AnswerRecipient.PLATFORM);
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(LONG_ITERATION_MS));
             return result;
         });
@@ -324,7 +324,7 @@
 
     @Test
     void theSameIdFromTwoFrontendsIsOneMessageAndEachIsAnsweredOnce() throws Exception {
-        assertEquals("accepted", submit("one", "once", Claim.PLATFORM));
+        assertEquals("accepted", submit("one", "once", AnswerRecipient.PLATFORM));
         assertEquals("PENDING", submit("one", "once", KEPT));
         assertEquals("PENDING", submit("one", "once", KEPT));
         end(DeliveryPolicy.AttemptOutcome.ERROR);
@@ -346,7 +346,7 @@
     @Test
     void aMessageThatASecondFrontendReportedAsPendingIsNotWithdrawnWhenTheFirstClientLeaves() throws Exception {
         String duplicate = onLoop(() -> {
-            Held held = world.intake.submit(new MessageIntake.Submission("one", "once", "acme",
+            PendingMessage held = world.intake.submit(new MessageIntake.Submission("one", "once", "acme",
                     Optional.empty(), 7, 20_000, new byte[] {1}, List.of(DROPPED))).message().orElseThrow();
             world.intake.writeAccepted();
             String second = world.intake.checkDuplicate("one", KEPT).orElseThrow().name();
@@ -381,7 +381,7 @@
 
     @Test
     void aRecipientThatAcknowledgedBeforeARestartIsNotAnsweredAgain() throws Exception {
-        assertEquals("accepted", submit("one", "once", Claim.PLATFORM));
+        assertEquals("accepted", submit("one", "once", AnswerRecipient.PLATFORM));
         assertEquals("PENDING", submit("one", "once", KEPT));
         world.acknowledging.remove("queue");
         end(DeliveryPolicy.AttemptOutcome.ERROR);
--- a/src/test/java/slipfield/outcome/ends/ClientAnswersTest.java
+++ b/src/test/java/slipfield/outcome/ends/ClientAnswersTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.io.TempDir;
 import slipfield.config.BadInput;
 import slipfield.core.AnswerPolling;
-import slipfield.journal.Held;
-import slipfield.journal.Owed;
+import slipfield.journal.PendingMessage;
+import slipfield.journal.PendingAnswer;
 
 /** How long answers are retained, and when they are sent again; on an event loop whose clock the test moves. */
 class ClientAnswersTest {
@@ -28,19 +28,19 @@
 
     private ClientAnswers answers(long keepMs, int maxAnswers, long maxBytes) {
         return new ClientAnswers(loop, new ClientsConfig.Retention(keepMs, maxAnswers, maxBytes), "e1",
-                owed -> acknowledged.add(owed.held().id));
+                owed -> acknowledged.add(owed.message().id));
     }
 
-    private static Owed pendingAnswer(ClientAnswers answers, String peer, String id, Held.End end,
+    private static PendingAnswer pendingAnswer(ClientAnswers answers, String peer, String id, PendingMessage.FinalAnswer end,
             double waitMs) {
-        Held held = new Held(1, id, "c", "t", Optional.empty(), 7, 0, new byte[100], answers.recipient(peer));
-        held.owed = Optional.of(new Held.Notice(end, waitMs));
-        return new Owed(held, answers.recipient(peer));
+        PendingMessage held = new PendingMessage(1, id, "c", "t", Optional.empty(), 7, 0, new byte[100], answers.recipient(peer));
+        held.pendingNotice = Optional.of(new PendingMessage.Notice(end, waitMs));
+        return new PendingAnswer(held, answers.recipient(peer));
     }
 
     private void enqueue(ClientAnswers answers, String peer, String... ids) {
         for (String id : ids) {
-            answers.enqueue(pendingAnswer(answers, peer, id, Held.End.DELIVERED, 0));
+            answers.enqueue(pendingAnswer(answers, peer, id, PendingMessage.FinalAnswer.DELIVERED, 0));
         }
         answers.flush();
     }
@@ -71,8 +71,8 @@
     @Test
     void aRefusalHasItsRequestedDelay() {
         ClientAnswers answers = answers(60_000, 100, 1 << 20);
-        answers.enqueue(pendingAnswer(answers, "desk", "a", Held.End.REFUSED, 250.4));
-        answers.enqueue(pendingAnswer(answers, "desk", "b", Held.End.FAILED, 0));
+        answers.enqueue(pendingAnswer(answers, "desk", "a", PendingMessage.FinalAnswer.REFUSED, 250.4));
+        answers.enqueue(pendingAnswer(answers, "desk", "b", PendingMessage.FinalAnswer.FAILED, 0));
         poll(answers, "desk", "", 0);
         assertEquals("{\"cursor\":\"e1-1\",\"ref\":\"a\",\"end\":\"refused\",\"wait_ms\":250}\n"
                 + "{\"cursor\":\"e1-2\",\"ref\":\"b\",\"end\":\"failed\"}\n", responses.get(0));
@@ -141,7 +141,7 @@
     void manyAnswersAreSentInSeveralResponses() {
         ClientAnswers answers = answers(60_000, 10_000, 1 << 24);
         for (int i = 1; i <= 3000; i++) {
-            answers.enqueue(pendingAnswer(answers, "desk", "id-" + i, Held.End.DELIVERED, 0));
+            answers.enqueue(pendingAnswer(answers, "desk", "id-" + i, PendingMessage.FinalAnswer.DELIVERED, 0));
         }
         String after = "";
         for (int polls = 0; acknowledged.size() < 3000; polls++) {
