--- a/src/main/java/slipfield/core/Recovery.java
+++ b/src/main/java/slipfield/core/Recovery.java
@@ -11,10 +11,10 @@
 import slipfield.journal.PendingMessage;
 import slipfield.log.Log;
 import slipfield.log.LoggedTask;
-import slipfield.recovery.Plan;
+import slipfield.recovery.RecoveryPlan;
 
 /**
- * Restores the messages that an earlier process left in the journal, in the order of a {@link Plan}: one batch per
+ * Restores the messages that an earlier process left in the journal, in the order of a {@link RecoveryPlan}: one batch per
  * event-loop iteration, so that the loop can do other work in between. Final answers need no endpoint list and are sent
  * first. Messages that may still be delivered wait a limited time for an endpoint list from discovery; one whose time runs
  * out meanwhile is ended.
@@ -47,7 +47,7 @@
     /** Messages that are not restored yet, by number. */
     private final Map<Long, PendingMessage> left = new HashMap<>();
     private final List<PendingMessage> all;
-    private Plan plan;
+    private RecoveryPlan plan;
     /** Whether there is an endpoint list that may be used; if no message is left to send, any list will do. */
     private boolean listUsable;
     private boolean answersSent;
@@ -97,23 +97,23 @@
 
     private void plan() {
         long now = wallMs.getAsLong();
-        List<Plan.Item> items = new ArrayList<>();
+        List<RecoveryPlan.Item> items = new ArrayList<>();
         for (PendingMessage message : all) {
             if (left.containsKey(message.number)) {
-                items.add(new Plan.Item(message.number, leftMs(message, now), message.finished, inOrder.test(message)));
+                items.add(new RecoveryPlan.Item(message.number, leftMs(message, now), message.finished, inOrder.test(message)));
             }
         }
-        plan = new Plan(items);
+        plan = new RecoveryPlan(items);
     }
 
     private static long leftMs(PendingMessage message, long now) {
-        return Plan.leftMs(message.deadlineMs - now, message.reserveMs,
+        return RecoveryPlan.remainingMs(message.deadlineMs - now, message.reserveMs,
                 message.attempts.stream().allMatch(a -> a.neverRan));
     }
 
     private void step() {
         waitingForList = false;
-        if (plan.endsLeft()) {
+        if (plan.hasAnswersLeft()) {
             restore(plan.next());
         } else if (!answersSent) {
             answersSent = true;
@@ -122,7 +122,7 @@
         } else if (!listUsable) {
             waitingForList = true;
             loop.schedule(LoggedTask.of("recovery.look", this::checkExpiry), EXPIRY_CHECK_MS, TimeUnit.MILLISECONDS);
-        } else if (plan.left() > 0) {
+        } else if (plan.remainingBatches() > 0) {
             restore(plan.next());
         } else {
             steps.done(resumed);
@@ -142,13 +142,13 @@
         }
     }
 
-    private void restore(Plan.Slice slice) {
+    private void restore(RecoveryPlan.Batch batch) {
         batches++;
         long now = wallMs.getAsLong();
-        for (long number : slice.numbers()) {
+        for (long number : batch.numbers()) {
             PendingMessage message = left.remove(number);
             try {
-                restore(message, slice.step(), now);
+                restore(message, batch.action(), now);
             } catch (RuntimeException e) {
                 // The other messages must be restored all the same; the journal still holds this one.
                 Log.error("recovery.message_fault", "message", message.id, "cause", e);
@@ -157,11 +157,11 @@
         scheduleStep(0);
     }
 
-    private void restore(PendingMessage message, Plan.Step step, long now) {
-        if (step == Plan.Step.TELL) {
+    private void restore(PendingMessage message, RecoveryPlan.Action action, long now) {
+        if (action == RecoveryPlan.Action.REPORT) {
             steps.sendAnswer(message);
         } else {
-            resumed += step == Plan.Step.RESUME ? 1 : 0;
+            resumed += action == RecoveryPlan.Action.RESUME ? 1 : 0;
             steps.resume(message, leftMs(message, now));
         }
     }
--- a/src/main/java/slipfield/core/Sender.java
+++ b/src/main/java/slipfield/core/Sender.java
@@ -17,7 +17,7 @@
 import java.util.Set;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import slipfield.admission.Admission;
+import slipfield.admission.AdmissionControl;
 import slipfield.config.Config;
 import slipfield.journal.AnswerRecipient;
 import slipfield.journal.PendingMessage;
@@ -95,7 +95,7 @@
     /** Calls decided in an iteration that took long, which are checked again before they start, by {@link #attemptKey}. */
     private final Map<Long, DecidedCall> delayedCalls = new LinkedHashMap<>();
     private final DeliveryPolicy policy;
-    private final Admission admission;
+    private final AdmissionControl admission;
     private final Trace trace = TRACE_ENABLED ? new Trace(System.err) : null;
     private Recovery recovery;
     private Journal journal;
@@ -132,7 +132,7 @@
         this.config = config;
         this.components = components;
         this.clock = clock;
-        this.admission = new Admission(config.maxOpen());
+        this.admission = new AdmissionControl(config.maxOpen());
         this.acceptMs = acceptMs;
         this.drainMs = drainMs;
         this.policy = DeliveryPolicy.create(config.settings(), config.seed(), this);
@@ -201,7 +201,7 @@
             if (!h.finished) {
                 pendingByNumber.put(h.number, h);
                 pendingById.put(h.id, h);
-                admission.held(now, h.destination);
+                admission.messageAdded(now, h.destination);
             }
         }
         recovery = new Recovery(loop, clock::wallMs, messages, h -> {
@@ -468,7 +468,7 @@
         long nanos = (long) (time * 1e6) - (System.nanoTime() - startNanos);
         loop.schedule(() -> {
             double now = beginIteration();
-            admission.late(now, now - time);
+            admission.recordLateness(now, now - time);
             LatenessLog.timerFired(now - time);
             if (TRACE_ENABLED) {
                 trace.late(now - time);
@@ -634,7 +634,7 @@
         message.finished = true;
         pendingByNumber.remove(message.number);
         pendingById.remove(message.id);
-        admission.ended(now(), message.destination, delivered);
+        admission.messageEnded(now(), message.destination, delivered);
     }
 
     private void acknowledged(PendingAnswer answer) {
@@ -786,14 +786,14 @@
             long leftMs = (long) Math.min(s.budgetMs(), maxMs);
             long reserveMs = admission.isLate(now()) ? LATE_LOOP_RESERVE_MS : Math.min(ANSWER_RESERVE_MS, leftMs / 2);
             leftMs -= reserveMs;
-            Admission.Verdict verdict = admission.admit(now(), s.destination(), leftMs, pendingByNumber.size());
+            AdmissionControl.Decision decision = admission.admit(now(), s.destination(), leftMs, pendingByNumber.size());
             if (FLOW_ENABLED) {
-                Flow.step("asked", s.id(), s.destination(), verdict.taken(), pendingByNumber.size(), leftMs,
-                        s.key().orElse("-"), verdict.reason().replace(' ', '_'));
+                Flow.step("asked", s.id(), s.destination(), decision.accepted(), pendingByNumber.size(), leftMs,
+                        s.key().orElse("-"), decision.reason().replace(' ', '_'));
             }
-            if (!verdict.taken()) {
-                return new SubmissionResult(Optional.empty(), verdict.reason(), verdict.waitMs(),
-                        verdict.destination());
+            if (!decision.accepted()) {
+                return new SubmissionResult(Optional.empty(), decision.reason(), decision.retryAfterMs(),
+                        decision.destinationOnly());
             }
             PendingMessage message = new PendingMessage(journal.nextNumber(), s.id(), s.messageClass(), s.tenant(), s.key(),
                     s.destination(), clock.wallMs() + leftMs, s.body(), s.recipients().get(0));
@@ -808,7 +808,7 @@
             }
             pendingByNumber.put(message.number, message);
             pendingById.put(message.id, message);
-            admission.held(now(), message.destination);
+            admission.messageAdded(now(), message.destination);
             return SubmissionResult.accepted(message);
         }
 
