--- a/src/main/java/slipfield/admission/AdmissionControl.java
+++ b/src/main/java/slipfield/admission/AdmissionControl.java
@@ -7,174 +7,177 @@
 import java.util.Map;
 
 /**
- * Refuses, with the time to come back, what could not be ended in time: above the most that may be held, while
- * the loop itself is late, and where more waits for a destination than it has ever been seen to take in the time
- * that the message has.
+ * Refuses messages that could not get a final answer in time, and says when the client may come back. A message is refused
+ * while the limit of pending messages is reached, while the event loop runs late, and while more messages wait for its
+ * destination than this has been observed to take in the time that the message has left.
  *
- * <p>How fast held work goes is taken as the most that any stretch of two seconds of the last minute showed, so
- * an outage does not count as slowness: it may end at any moment, and what was held for it then goes out. Only
- * where deliveries went on for some seconds with more waiting all the while do these show what the destination
- * takes now. Without evidence nothing is refused here. Times are milliseconds.
+ * <p>The throughput of a destination is the best two-second interval of the last minute. An outage therefore does not count
+ * as slowness: it may end at any moment, and the messages that waited for it then go out. If deliveries continued for several
+ * seconds while messages were waiting throughout, these show what the destination takes now and limit the estimate. Without
+ * any observation no message is refused for its destination. All times are in milliseconds.
  */
 public final class AdmissionControl {
-    /** A client waits 400 ms for its answer: a loop that is later than this has more work than it can do. */
-    static final double LATE_MS = 300;
-    /** What is a little late by chance is not behind. */
-    static final double NOTICED_MS = 50;
-    /** A loop that is late takes nothing on that has less time left. */
-    static final double LEAST_LEFT_MS = 300;
-    /** Lateness is believed for so long: it is seen only now and then. */
-    static final double LATE_MEMORY_MS = 500;
-    /** A destination with fewer waiting messages is never refused: too little to measure by. */
-    static final int FEW = 16;
-    private static final double STRETCH_MS = 2000;
-    private static final double MEMORY_MS = 60_000;
-    /** So many whole stretches with deliveries, one after the other and messages waiting all the while. */
-    private static final int STEADY = 3;
-    /** What the most of these may fall short of by: an endpoint that comes back cold gets faster. */
+    /** A client waits 400 ms for its answer: an event loop that is later than this has more work than it can do. */
+    static final double OVERLOAD_LATENESS_MS = 300;
+    /** Less lateness than this is chance, not overload. */
+    static final double MIN_LATENESS_MS = 50;
+    /** A loop that is late accepts no message with less time left than this. */
+    static final double MIN_LEFT_MS = 300;
+    /** How long a lateness counts after it was recorded, because it is recorded only now and then. */
+    static final double LATENESS_VALID_MS = 500;
+    /** Destinations with fewer waiting messages are never refused: there is too little to measure. */
+    static final int MIN_WAITING = 16;
+    private static final double INTERVAL_MS = 2000;
+    private static final double HISTORY_MS = 60_000;
+    /** Consecutive complete intervals with deliveries, and with messages waiting throughout, that count as steady. */
+    private static final int STEADY_INTERVALS = 3;
+    /** The estimate may exceed the best of the steady intervals by this factor: a recovering endpoint gets faster. */
     private static final double STEADY_MARGIN = 2;
-    private static final double LEAST_WAIT_MS = 200;
+    private static final double MIN_RETRY_AFTER_MS = 200;
 
-    private final int mostHeld;
-    private final Map<Long, Work> works = new HashMap<>();
+    private final int maxPending;
+    private final Map<Long, Load> loads = new HashMap<>();
     private double late;
     private double lateAt = Double.NEGATIVE_INFINITY;
 
-    /** Holds so many messages at most. */
-    public AdmissionControl(int mostHeld) {
-        this.mostHeld = mostHeld;
+    /** Accepts messages while fewer than {@code maxPending} are pending. */
+    public AdmissionControl(int maxPending) {
+        this.maxPending = maxPending;
     }
 
     /**
-     * Taken on, or refused for a reason; a refused client may come back after so long, 0 if not known; {@code
-     * destination}: that is so of this destination alone.
+     * The decision about one message.
+     *
+     * @param reason why it was refused; empty if accepted
+     * @param retryAfterMs after which time a refused client may come back; 0 if accepted
+     * @param destinationOnly the refusal concerns this destination only, not the whole sender
      */
     public record Decision(boolean accepted, String reason, long retryAfterMs, boolean destinationOnly) {
         private static final Decision ACCEPTED = new Decision(true, "", 0, false);
     }
 
-    /** Whether a message for this destination, with so much time left, is taken on while so many are held. */
-    public Decision admit(double now, long destination, double leftMs, int held) {
-        if (held >= mostHeld) {
-            return refused("as many messages are held as may be", waitFor(now, held - mostHeld + 1), false);
+    /** Decides about a message for this destination with {@code leftMs} left, while {@code pending} messages are pending. */
+    public Decision admit(double now, long destination, double leftMs, int pending) {
+        if (pending >= maxPending) {
+            return refused("as many messages are held as may be", waitFor(now, pending - maxPending + 1), false);
         }
-        if (isLate(now) && (late >= LATE_MS || leftMs < LEAST_LEFT_MS)) {
+        if (isLate(now) && (late >= OVERLOAD_LATENESS_MS || leftMs < MIN_LEFT_MS)) {
             return refused("the sender is behind", late, false);
         }
-        Work work = works.get(destination);
-        if (work != null && work.waiting >= FEW) {
-            double rate = work.perMs(now);
-            if (rate > 0 && work.waiting / rate > leftMs) {
+        Load load = loads.get(destination);
+        if (load != null && load.waiting >= MIN_WAITING) {
+            double rate = load.perMs(now);
+            if (rate > 0 && load.waiting / rate > leftMs) {
                 return refused("more waits for this dest than it takes in that time",
-                        work.waiting / rate - leftMs, true);
+                        load.waiting / rate - leftMs, true);
             }
         }
         return Decision.ACCEPTED;
     }
 
-    private static Decision refused(String reason, double waitMs, boolean destination) {
-        return new Decision(false, reason, (long) Math.ceil(Math.max(waitMs, LEAST_WAIT_MS)), destination);
+    private static Decision refused(String reason, double waitMs, boolean destinationOnly) {
+        return new Decision(false, reason, (long) Math.ceil(Math.max(waitMs, MIN_RETRY_AFTER_MS)), destinationOnly);
     }
 
-    /** When so many of those held will have ended, at the pace of them all. */
-    private double waitFor(double now, int ends) {
+    /** Returns how long this many deliveries take at the summed rate of all destinations; 0 if no rate is known. */
+    private double waitFor(double now, int deliveries) {
         double rate = 0;
-        for (Work work : works.values()) {
-            rate += work.perMs(now);
+        for (Load load : loads.values()) {
+            rate += load.perMs(now);
         }
-        return rate > 0 ? ends / rate : 0;
+        return rate > 0 ? deliveries / rate : 0;
     }
 
     /**
-     * Whether something due was done noticeably late a moment ago: then a request may have stood unread for long,
-     * and one with little time left may be over before its end can be told.
+     * Returns whether a due task ran noticeably late a moment ago. A request may then have been unread for a long time, and
+     * one with little time left may be over before its final answer can be sent.
      */
     public boolean isLate(double now) {
-        return now - lateAt < LATE_MEMORY_MS && late >= NOTICED_MS;
+        return now - lateAt < LATENESS_VALID_MS && late >= MIN_LATENESS_MS;
     }
 
-    /** A message for this destination is held from now on. */
+    /** Counts a message for this destination as pending from now on. */
     public void messageAdded(double now, long destination) {
-        Work work = works.computeIfAbsent(destination, d -> new Work());
-        if (work.waiting++ == 0) {
-            work.busySince = now;
+        Load load = loads.computeIfAbsent(destination, d -> new Load());
+        if (load.waiting++ == 0) {
+            load.busySince = now;
         }
     }
 
-    /** One that was held is no more; {@code delivered}: by a delivery. */
+    /** Counts a pending message as finished; {@code delivered}: by a delivery. */
     public void messageEnded(double now, long destination, boolean delivered) {
-        Work work = works.get(destination);
-        if (work == null) {
+        Load load = loads.get(destination);
+        if (load == null) {
             return;
         }
-        work.waiting = Math.max(0, work.waiting - 1);
+        load.waiting = Math.max(0, load.waiting - 1);
         if (delivered) {
-            work.count(now);
+            load.count(now);
         }
     }
 
-    /** Something that was due was done so much later. */
+    /** Records that a due task ran {@code lateMs} late. While the previous lateness is valid, half of it is the least that is kept. */
     public void recordLateness(double now, double lateMs) {
-        late = now - lateAt < LATE_MEMORY_MS ? Math.max(lateMs, late / 2) : lateMs;
+        late = now - lateAt < LATENESS_VALID_MS ? Math.max(lateMs, late / 2) : lateMs;
         lateAt = now;
     }
 
-    /** What waits for a destination, and how fast it went. */
-    private static final class Work {
-        private final Deque<Stretch> stretches = new ArrayDeque<>();
+    /** The messages that wait for a destination, and its recent deliveries. */
+    private static final class Load {
+        private final Deque<Interval> intervals = new ArrayDeque<>();
         private int waiting;
         private double busySince;
 
-        private static final class Stretch {
+        private static final class Interval {
             private final double from;
-            private int ends;
+            private int deliveries;
 
-            private Stretch(double from) {
+            private Interval(double from) {
                 this.from = from;
             }
         }
 
         private void count(double now) {
-            if (stretches.isEmpty() || now - stretches.peekLast().from >= STRETCH_MS) {
-                stretches.addLast(new Stretch(now));
+            if (intervals.isEmpty() || now - intervals.peekLast().from >= INTERVAL_MS) {
+                intervals.addLast(new Interval(now));
             }
-            while (now - stretches.peekFirst().from > MEMORY_MS) {
-                stretches.removeFirst();
+            while (now - intervals.peekFirst().from > HISTORY_MS) {
+                intervals.removeFirst();
             }
-            stretches.peekLast().ends++;
+            intervals.peekLast().deliveries++;
         }
 
         /**
-         * The rate at which the destination takes messages, as far as was seen; 0 where nothing was. A stretch that has
-         * just begun shows nothing yet: taken for a whole one, the first delivery after a start would be a rate of one
-         * in two seconds, and whoever heeds the wait that follows from it stays away for a minute.
+         * Returns the estimated rate at which the destination takes messages, per ms; 0 if nothing was observed yet. A first
+         * interval that has only just begun is no evidence: taken for a complete one, the first delivery after a start would
+         * be a rate of one in two seconds, and a client that obeys the wait computed from it would stay away for a minute.
          */
         private double perMs(double now) {
-            if (stretches.isEmpty() || now - stretches.peekFirst().from < STRETCH_MS) {
+            if (intervals.isEmpty() || now - intervals.peekFirst().from < INTERVAL_MS) {
                 return 0;
             }
             int most = 0;
             int steady = 0;
             int steadyMost = 0;
             double next = now;
-            for (Iterator<Stretch> back = stretches.descendingIterator(); back.hasNext();) {
-                Stretch stretch = back.next();
-                if (now - stretch.from > MEMORY_MS) {
+            for (Iterator<Interval> back = intervals.descendingIterator(); back.hasNext();) {
+                Interval interval = back.next();
+                if (now - interval.from > HISTORY_MS) {
                     break;
                 }
-                most = Math.max(most, stretch.ends);
-                boolean whole = now - stretch.from >= STRETCH_MS;
-                boolean unbroken = next - stretch.from < 2 * STRETCH_MS && stretch.from >= busySince;
-                next = unbroken ? stretch.from : Double.POSITIVE_INFINITY;
-                if (unbroken && whole && steady < STEADY) {
+                most = Math.max(most, interval.deliveries);
+                boolean complete = now - interval.from >= INTERVAL_MS;
+                boolean unbroken = next - interval.from < 2 * INTERVAL_MS && interval.from >= busySince;
+                next = unbroken ? interval.from : Double.POSITIVE_INFINITY;
+                if (unbroken && complete && steady < STEADY_INTERVALS) {
                     steady++;
-                    steadyMost = Math.max(steadyMost, stretch.ends);
+                    steadyMost = Math.max(steadyMost, interval.deliveries);
                 }
             }
-            if (waiting > 0 && steady == STEADY) {
-                return Math.min(most, STEADY_MARGIN * steadyMost) / STRETCH_MS;
+            if (waiting > 0 && steady == STEADY_INTERVALS) {
+                return Math.min(most, STEADY_MARGIN * steadyMost) / INTERVAL_MS;
             }
-            return most / STRETCH_MS;
+            return most / INTERVAL_MS;
         }
     }
 }
--- a/src/main/java/slipfield/admission/package-info.java
+++ b/src/main/java/slipfield/admission/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Whether a message is taken on: a sender promises an end in time, and takes on less than it can end. It decides
- * from what it is told: no I/O, no clock but the time that it is told, nothing of the rest of the project.
+ * Admission control: a sender promises a final answer in time, so it accepts only as many messages as it can answer. Pure
+ * logic: no I/O, no clock other than the time passed in, no dependency on the rest of the project.
  */
 package slipfield.admission;
--- a/src/main/java/slipfield/recovery/RecoveryPlan.java
+++ b/src/main/java/slipfield/recovery/RecoveryPlan.java
@@ -8,108 +8,113 @@
 import java.util.List;
 
 /**
- * The order in which held messages are taken up again, in slices with the loop free between them, so that no
- * message hangs on one long turn to be ended.
+ * The order in which messages restored from the journal are processed after a restart. They are split into batches, and the
+ * caller returns to the event loop between two batches, so that no final answer is delayed by one long iteration.
  *
- * <p>First come the notices that an earlier life answerPending, then the messages whose time is up, then those whose
- * time is up soon, the next to end first; the rest follow as they were taken. Ends go first because a late end
- * is a lost message, while a late send is only late. Messages of a class that keeps an order stay in it, since
- * the decision module lines them up as they come; the end of one that is overdue may come out of turn.
+ * <p>Final answers that the previous process still owed come first, then messages whose time is up, then messages whose time
+ * is nearly up, the earliest deadline first. The rest follow in the order in which they were accepted. Answers go before
+ * sends because a late answer counts as a lost message, while a late send is only late. Messages of a class that keeps an
+ * order stay in it, because the decision module queues them in the order in which they arrive; only the answer of an overdue
+ * one may leave out of order.
  */
 public final class RecoveryPlan {
-    /** Messages of one slice: some milliseconds of work also in the first second of a process. */
+    /** Messages per batch of {@link Action#RESUME}: some milliseconds of work, even in the first second of a process. */
     public static final int RESUME_BATCH_SIZE = 64;
-    /** Ends of one slice: no call is made for them, so they cost less. */
+    /** Messages per batch of final answers. These make no call, so they cost less. */
     public static final int ANSWER_BATCH_SIZE = 256;
-    /** What has less time left than this goes before the rest: a start may take as long before it is sent. */
+    /** Messages with less time left than this are resumed before the rest: a start may take this long before it sends them. */
     public static final long DUE_SOON_MS = 1500;
 
-    /** What a held message waits for. */
+    /** What has to be done with a pending message. */
     public enum Action {
-        /** Its end is decided, the platform has still to hear of it. */
+        /** Its final answer is decided; the platform has not acknowledged it yet. */
         REPORT,
-        /** Its time is up: an end has to be decided. */
+        /** Its time is up: a final answer has to be decided. */
         EXPIRE,
         /** It may still be delivered. */
         RESUME
     }
 
     /**
-     * A held message; {@code remainingMs} until its time is up, negative where it is; {@code answerPending}: its end is
-     * decided; {@code inOrder}: its class keeps an order.
+     * A pending message.
+     *
+     * @param remainingMs until its time is up, negative once it is
+     * @param answerPending its final answer is decided but not acknowledged
+     * @param inOrder its class keeps an order
      */
     public record Item(long number, long remainingMs, boolean answerPending, boolean inOrder) {
     }
 
-    /** Messages that are taken up in one turn, in this order. */
+    /** Messages to process in one event-loop iteration, in this order. */
     public record Batch(Action action, List<Long> numbers) {
-        /** Keeps a copy. */
+        /** Copies the list. */
         public Batch {
             numbers = List.copyOf(numbers);
         }
     }
 
-    private final Deque<Batch> slices = new ArrayDeque<>();
+    private final Deque<Batch> batches = new ArrayDeque<>();
 
     /**
-     * What a held message has left, in ms. A message is ended a reserve before its time is up, lest its end be told too late;
-     * right after a restart no end is overdue yet (by the protocol, for 1.5 s). So what was never tried is given the reserve to
-     * be tried in: it is given up with no call only where its client's own time is over.
+     * Returns the time that a pending message has left, in ms. In normal operation a message gets its final answer a reserve
+     * before its time is up, so that the answer arrives in time. Right after a restart no answer counts as overdue (by the
+     * protocol, for 1.5 s), so a message that was never tried may use the reserve for an attempt: it is given up without one
+     * only after its client's own time is over.
      *
-     * @param endsInMs until it would be ended in service, negative where that has passed
-     * @param reserveMs what its client's time has beyond that, under 1 s
-     * @param untried no attempt at it was made that may have run
+     * @param endsInMs until it would get its final answer in normal operation, negative once that has passed
+     * @param reserveMs how much longer its client's time lasts, under 1 s
+     * @param untried no attempt was made that may have run
      */
     public static long remainingMs(long endsInMs, long reserveMs, boolean untried) {
         return untried ? Math.max(endsInMs, Math.min(endsInMs + reserveMs, reserveMs)) : endsInMs;
     }
 
-    /** Plans these messages, which come in the order taken. */
-    public RecoveryPlan(Collection<Item> held) {
-        List<Item> tell = new ArrayList<>();
-        List<Item> end = new ArrayList<>();
-        List<Item> soon = new ArrayList<>();
+    /** Plans these messages, given in the order in which they were accepted. */
+    public RecoveryPlan(Collection<Item> pending) {
+        List<Item> report = new ArrayList<>();
+        List<Item> expire = new ArrayList<>();
+        List<Item> resume = new ArrayList<>();
         List<Item> rest = new ArrayList<>();
-        for (Item item : held) {
+        for (Item item : pending) {
             if (item.answerPending()) {
-                tell.add(item);
+                report.add(item);
             } else if (item.remainingMs() <= 0) {
-                end.add(item);
+                expire.add(item);
             } else if (item.remainingMs() < DUE_SOON_MS && !item.inOrder()) {
-                soon.add(item);
+                resume.add(item);
             } else {
                 rest.add(item);
             }
         }
-        soon.sort(Comparator.comparingLong(Item::remainingMs));
-        soon.addAll(rest);
-        cut(Action.REPORT, tell, ANSWER_BATCH_SIZE);
-        cut(Action.EXPIRE, end, ANSWER_BATCH_SIZE);
-        cut(Action.RESUME, soon, RESUME_BATCH_SIZE);
+        resume.sort(Comparator.comparingLong(Item::remainingMs));
+        resume.addAll(rest);
+        addBatches(Action.REPORT, report, ANSWER_BATCH_SIZE);
+        addBatches(Action.EXPIRE, expire, ANSWER_BATCH_SIZE);
+        addBatches(Action.RESUME, resume, RESUME_BATCH_SIZE);
     }
 
-    private void cut(Action action, List<Item> items, int most) {
-        for (int from = 0; from < items.size(); from += most) {
+    private void addBatches(Action action, List<Item> items, int batchSize) {
+        for (int from = 0; from < items.size(); from += batchSize) {
             List<Long> numbers = new ArrayList<>();
-            for (Item item : items.subList(from, Math.min(from + most, items.size()))) {
+            for (Item item : items.subList(from, Math.min(from + batchSize, items.size()))) {
                 numbers.add(item.number());
             }
-            slices.add(new Batch(action, numbers));
+            batches.add(new Batch(action, numbers));
         }
     }
 
-    /** Slices that are still to come. */
+    /** Returns the number of batches that are left. */
     public int remainingBatches() {
-        return slices.size();
+        return batches.size();
     }
 
-    /** Whether an end is among what is still to come: nothing is to be sent before these are out. */
+    /** Returns whether final answers are left. Nothing may be sent before these are out. */
     public boolean hasAnswersLeft() {
-        return !slices.isEmpty() && slices.peek().action() != Action.RESUME;
+        return !batches.isEmpty() && batches.peek().action() != Action.RESUME;
     }
 
-    /** What the next turn takes up; there must be something left. */
+    /** Removes and returns the next batch. Fails if none is left. */
     public Batch next() {
-        return slices.remove();
+        return batches.remove();
     }
 }
--- a/src/main/java/slipfield/recovery/package-info.java
+++ b/src/main/java/slipfield/recovery/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What is done first with the messages that an earlier life held, and how much of it in one turn of the loop.
- * It decides from what it is told: no I/O, no clock, nothing of the rest of the project.
+ * Decides in which order, and in batches of which size, the messages of the previous process are processed after a restart.
+ * Pure logic: no I/O, no clock, no dependency on the rest of the project.
  */
 package slipfield.recovery;
--- a/src/main/java/slipfield/retry/Retry.java
+++ b/src/main/java/slipfield/retry/Retry.java
@@ -6,9 +6,9 @@
 import java.util.concurrent.TimeUnit;
 import slipfield.log.Log;
 
-/** Tries a step of a start again until it succeeds or its time is over. It blocks, so it is not for an event loop in service. */
+/** Retries a step of the startup until it succeeds or a time limit is over. Blocks, so it must not run on a live event loop. */
 public final class Retry {
-    /** For how long a start bears a system that fails, in ms: the platform gives a start 30 s. */
+    /** How long a step may be retried during the startup, in ms. The platform allows 30 s for a start. */
     public static final long START_MS = 20_000;
 
     private static final long PAUSE_MS = 20;
@@ -16,32 +16,38 @@
     private Retry() {
     }
 
-    /** A step that may fail. */
+    /** A step of the startup that may fail. */
     public interface Step<T> {
-        /** Does it, or fails having changed nothing that a further try would meet. */
+        /** Runs the step. After a failure it must be safe to run again: no change may be left that affects the next run. */
         T run() throws IOException;
     }
 
-    /** The step's result; its last failure once {@code mostMs} are over. {@code what} names it in the log. */
-    public static <T> T within(long mostMs, String what, Step<T> step) throws IOException {
+    /**
+     * Runs a step until it succeeds, and returns its result.
+     *
+     * @param maxMs for how long a failing step is retried
+     * @param name the step's name in the log
+     * @throws IOException the last failure once {@code maxMs} are over; at once if a file is missing or access is denied
+     */
+    public static <T> T within(long maxMs, String name, Step<T> step) throws IOException {
         long begun = System.nanoTime();
-        long end = begun + TimeUnit.MILLISECONDS.toNanos(mostMs);
+        long end = begun + TimeUnit.MILLISECONDS.toNanos(maxMs);
         for (int failed = 0;; failed++) {
             try {
                 T result = step.run();
                 if (failed > 0) {
-                    Log.warn("start.went_on", "step", what, "failed", failed, "after_ms", msSince(begun));
+                    Log.warn("start.went_on", "step", name, "failed", failed, "after_ms", msSince(begun));
                 }
                 return result;
             } catch (NoSuchFileException | AccessDeniedException e) {
-                // No moment's failure.
+                // Not a temporary failure.
                 throw e;
             } catch (IOException e) {
                 if (System.nanoTime() >= end) {
                     throw e;
                 }
                 if (failed == 0) {
-                    Log.warn("start.tried_again", "step", what, "until_ms", mostMs, "cause", e);
+                    Log.warn("start.tried_again", "step", name, "until_ms", maxMs, "cause", e);
                 }
             }
             pause();
--- a/src/main/java/slipfield/retry/package-info.java
+++ b/src/main/java/slipfield/retry/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Steps of a start that are tried again while the system fails for a moment. Uses {@code log} alone.
+ * Retries steps of the startup that fail because of a temporary system error. Depends on {@code log} only.
  */
 package slipfield.retry;
--- a/src/test/java/slipfield/admission/AdmissionControlTest.java
+++ b/src/test/java/slipfield/admission/AdmissionControlTest.java
@@ -76,7 +76,7 @@
 
     @Test
     void fewWaitingAreNeverRefused() {
-        hold(0, AdmissionControl.FEW - 1);
+        hold(0, AdmissionControl.MIN_WAITING - 1);
         deliver(0, 20_000, 2500, true);
         assertTrue(admission.admit(20_000, DEST, 1000, 15).accepted());
     }
@@ -94,12 +94,12 @@
     void aLateLoopRefusesUntilItHasCaughtUp() {
         admission.recordLateness(1000, 20);
         assertTrue(admission.admit(1001, DEST, LEFT, 0).accepted());
-        admission.recordLateness(2000, AdmissionControl.LATE_MS + 100);
+        admission.recordLateness(2000, AdmissionControl.OVERLOAD_LATENESS_MS + 100);
         AdmissionControl.Decision decision = admission.admit(2001, DEST, LEFT, 0);
         assertFalse(decision.accepted());
         assertTrue(decision.reason().contains("behind"), decision.reason());
-        assertTrue(decision.retryAfterMs() >= AdmissionControl.LATE_MS);
-        assertTrue(admission.admit(2001 + AdmissionControl.LATE_MEMORY_MS, DEST, LEFT, 0).accepted());
+        assertTrue(decision.retryAfterMs() >= AdmissionControl.OVERLOAD_LATENESS_MS);
+        assertTrue(admission.admit(2001 + AdmissionControl.LATENESS_VALID_MS, DEST, LEFT, 0).accepted());
         admission.recordLateness(3000, 800);
         admission.recordLateness(3010, 0);
         admission.recordLateness(3020, 0);
