--- a/src/main/java/slipfield/group/decide/GossipMessage.java
+++ b/src/main/java/slipfield/group/decide/GossipMessage.java
@@ -5,31 +5,30 @@
 /**
  * A datagram between two members.
  *
- * @param kind what it is for
- * @param from who sent it
- * @param round the sender's number of the probe that it belongs to; an answer has that of its question
- * @param target whom the probe is about
- * @param rumors what the sender says of members, its own first
+ * @param from the member that sent it
+ * @param sequence the sender's number of the probe that it belongs to; an answer repeats the number of its request
+ * @param target the member that the probe is about
+ * @param rumors what the sender knows about members, starting with itself
  */
-public record GossipMessage(Kind kind, int from, long round, int target, List<MembershipRumor> rumors) {
-    /** Words that fit the 256 bytes that the platform carries. */
+public record GossipMessage(Kind kind, int from, long sequence, int target, List<MembershipRumor> rumors) {
+    /** The most rumors that fit into the 256 bytes that the platform carries. */
     public static final int MAX_RUMORS = 34;
-    /** Members that a note can name. */
+    /** The most members that a message can name. */
     public static final int MAX_MEMBERS = 1 << 16;
 
-    /** What a note is for. */
+    /** The purpose of a message. The wire carries the ordinal. */
     public enum Kind {
-        /** Is the receiver there? */
+        /** Asks whether the receiver is there. */
         PING,
-        /** The target is. */
+        /** The target is there. */
         ACK,
-        /** Let the receiver ask the target, and pass its answer on. */
+        /** Asks the receiver to ping the target and to pass its answer on. */
         PING_REQUEST,
-        /** The receiver of an {@link #PING_REQUEST} is there, and has not heard of the target in its time. */
+        /** The receiver of a {@link #PING_REQUEST} is there, but the target did not answer it in time. */
         NACK
     }
 
-    /** Takes a copy of the words. */
+    /** Copies the list. */
     public GossipMessage {
         rumors = List.copyOf(rumors);
     }
--- a/src/main/java/slipfield/group/decide/MemberState.java
+++ b/src/main/java/slipfield/group/decide/MemberState.java
@@ -1,13 +1,16 @@
 package slipfield.group.decide;
 
-/** What a member is held to be; of two words of one incarnation the later one here goes before. */
+/**
+ * The assumed state of a member. Of two rumors about the same incarnation, the one with the later constant supersedes the
+ * other. Messages carry the ordinal.
+ */
 public enum MemberState {
-    /** It was heard, or somebody says so. */
+    /** It was heard, or another member reports that it is there. */
     ALIVE,
-    /** It did not answer somebody; it may say that it is there, by a later incarnation. */
+    /** It did not answer a probe. It may refute that with a later incarnation. */
     SUSPECT,
-    /** It was suspected for so long that it would have said so. */
+    /** It was suspected for a time in which it would have refuted that. */
     DEAD,
-    /** It said that it goes. */
+    /** It has announced that it leaves. */
     LEFT
 }
--- a/src/main/java/slipfield/group/decide/MembershipRumor.java
+++ b/src/main/java/slipfield/group/decide/MembershipRumor.java
@@ -1,14 +1,14 @@
 package slipfield.group.decide;
 
 /**
- * What is said of a member.
+ * The state that is reported for a member.
  *
  * @param member its number, from 0
- * @param state what it is held to be
- * @param incarnation of its own making: a later one goes before all that is said of earlier ones; 0 to 2^32 - 1
+ * @param state its reported state
+ * @param incarnation set only by the member itself, 0 to 2^32 - 1; a later one supersedes every report about earlier ones
  */
 public record MembershipRumor(int member, MemberState state, long incarnation) {
-    /** Whether it goes before another word of the same member. */
+    /** Returns whether this rumor is newer than another one about the same member. */
     boolean supersedes(MembershipRumor other) {
         return incarnation != other.incarnation ? incarnation > other.incarnation
                 : state.ordinal() > other.state.ordinal();
--- a/src/main/java/slipfield/group/decide/SwimMember.java
+++ b/src/main/java/slipfield/group/decide/SwimMember.java
@@ -10,38 +10,39 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One member's part in the group, and its view. Each period it pings one other, in a drawn order in which each has its turn once;
- * where no answer comes it asks a few others to ask; where none comes by the period's end it suspects, and after a time that
- * grows with the logarithm of the group it holds for dead who has not said otherwise. What it hears goes on with the notes that
- * it sends anyway, each word as often as the logarithm asks for. So the notes of a member are as many whatever the group's size.
+ * One member of the group and its view of the others. In each period it pings one other member, in a random order in which each
+ * member comes up once. If no acknowledgement arrives it asks a few helpers to ping the target; if none arrives by the end of
+ * the period it suspects the target. A suspect that does not refute within a time that grows with the logarithm of the group's
+ * size is assumed dead. Rumors travel on the messages that are sent anyway, each a number of times that is proportional to that
+ * logarithm. The number of messages per member is therefore independent of the group's size.
  *
- * <p>Awareness of one's own slowness: a member that hears nobody while its question is out, that is told it is suspected, or that was
- * stopped, takes itself to be the slow one first, and gives others more time by that.
+ * <p>Awareness of its own slowness: a member that hears nobody while its probe is out, that learns that it is suspected, or
+ * that was stopped assumes first that it is slow itself, and then gives the others more time.
  *
- * <p>One thread; times are ms of any clock that does not go back. Numbers of members are from 0.
+ * <p>Not thread-safe. Times are ms on any clock that does not go back. Members are numbered from 0.
  */
 public final class SwimMember {
-    /** Longer than so many periods without being asked what is due: this process was stopped, and what is out is void. */
+    /** If {@link #tick} was not called for more periods than this, the process was stopped, and its open probes are void. */
     private static final double STOPPED_PERIODS = 2;
     private static final double NACK_SHARE = 0.8;
     private static final long MASK = 0xFFFFFFFFL;
 
-    /** What a member does about others. */
+    /** The output of a member. */
     public interface Actions {
-        /** Sends a note. */
-        void send(int to, GossipMessage note);
+        /** Sends a message to a member. */
+        void send(int to, GossipMessage message);
 
-        /** A member's standing has changed here. */
+        /** Reports that a member's state has changed in this member's view. */
         void changed(int member, MemberState state);
     }
 
-    /** One of the group, as it is seen here. */
+    /** What this member knows about a member of the group. */
     private static final class Member {
         private MembershipRumor rumor;
         private boolean known;
-        /** When it was heard by itself, and when anything newer was said of it. */
+        /** When a message of its own last arrived, and when a newer rumor about it last arrived. */
         private double heardAt = Double.NEGATIVE_INFINITY;
-        private double toldAt = Double.NEGATIVE_INFINITY;
+        private double rumorAt = Double.NEGATIVE_INFINITY;
         private double suspectedAt;
 
         private Member(int number) {
@@ -49,57 +50,58 @@
         }
     }
 
-    /** A probe of one's own that is out. */
+    /** This member's current probe. */
     private static final class Probe {
         private final int target;
-        private final long round;
+        private final long sequence;
         private final double at;
-        private boolean asked;
-        private boolean answered;
+        private boolean helpersAsked;
+        private boolean acknowledged;
         private int nacksDue;
 
-        private Probe(int target, long round, double at) {
+        private Probe(int target, long sequence, double at) {
             this.target = target;
-            this.round = round;
+            this.sequence = sequence;
             this.at = at;
         }
     }
 
-    /** A probe for another. */
-    private record Errand(int asker, long askersRound, int target, double nackAt) {
+    /** A probe on behalf of another member. */
+    private record IndirectProbe(int requester, long requesterSequence, int target, double nackAt) {
     }
 
-    /** A member as this one sees it: with the age of what it knows. */
+    /** A member in this member's view; {@code lastHeardAgoMs}: since its last message, infinite if there was none. */
     public record MemberView(int member, MemberState state, long incarnation, double lastHeardAgoMs) {
     }
 
     private final int self;
-    private final SwimSettings pace;
+    private final SwimSettings settings;
     private final RandomGenerator random;
     private final Actions actions;
     private final List<Member> members = new ArrayList<>();
-    private final List<Integer> order = new ArrayList<>();
-    private final Map<Long, Errand> errands = new HashMap<>();
-    /** How often each member's word has gone out since it was new. */
-    private final Map<Integer, Integer> fresh = new TreeMap<>();
+    private final List<Integer> probeOrder = new ArrayList<>();
+    private final Map<Long, IndirectProbe> indirectProbes = new HashMap<>();
+    /** For each member whose rumor is still spread: how often the rumor has been sent since it was new. */
+    private final Map<Integer, Integer> timesSent = new TreeMap<>();
     private Probe probe;
-    private long round;
+    private long sequence;
     private int slowness;
     private double nextProbeAt;
     private double lastTickAt;
     private double lastHeardAt;
 
     /**
-     * A member of a group of so many.
+     * Creates member {@code self} of a group of {@code size} members.
      *
-     * @param incarnation later than in any earlier life, such as the seconds of the wall clock
+     * @param incarnation higher than in any previous process of this member, such as the seconds of the wall clock
      */
-    public SwimMember(double now, int self, int size, long incarnation, SwimSettings pace, RandomGenerator random, Actions actions) {
+    public SwimMember(double now, int self, int size, long incarnation, SwimSettings settings, RandomGenerator random,
+            Actions actions) {
         if (self < 0 || self >= size || size > GossipMessage.MAX_MEMBERS) {
-            throw new IllegalArgumentException("member " + self + " of " + size);
+            throw new IllegalArgumentException("member number " + self + " in a group of " + size);
         }
         this.self = self;
-        this.pace = pace;
+        this.settings = settings;
         this.random = random;
         this.actions = actions;
         for (int i = 0; i < size; i++) {
@@ -109,18 +111,18 @@
         members.get(self).known = true;
         lastTickAt = now;
         lastHeardAt = now;
-        nextProbeAt = now + random.nextDouble() * pace.periodMs();
-        fresh.put(self, 0);
+        nextProbeAt = now + random.nextDouble() * settings.periodMs();
+        timesSent.put(self, 0);
     }
 
-    /** When {@link #tick} is due next, at the latest. */
+    /** Returns when {@link #tick} is due next, at the latest. */
     public double dueAt() {
         double due = nextProbeAt;
-        if (probe != null && !probe.answered && !probe.asked) {
+        if (probe != null && !probe.acknowledged && !probe.helpersAsked) {
             due = Math.min(due, probe.at + ackTimeoutMs());
         }
-        for (Errand errand : errands.values()) {
-            due = Math.min(due, errand.nackAt);
+        for (IndirectProbe indirect : indirectProbes.values()) {
+            due = Math.min(due, indirect.nackAt);
         }
         for (Member m : members) {
             if (m.rumor.state() == MemberState.SUSPECT) {
@@ -130,25 +132,25 @@
         return due;
     }
 
-    /** Does what is due. */
+    /** Does everything that is due: time-outs, the end of a suspicion, the next probe. */
     public void tick(double now) {
-        if (now - lastTickAt > STOPPED_PERIODS * pace.periodMs() * (1 + slowness)) {
-            wokenLate(now);
+        if (now - lastTickAt > STOPPED_PERIODS * settings.periodMs() * (1 + slowness)) {
+            resumeAfterStop(now);
         }
         lastTickAt = now;
-        if (probe != null && !probe.answered && !probe.asked && now >= probe.at + ackTimeoutMs()) {
-            askOthers();
+        if (probe != null && !probe.acknowledged && !probe.helpersAsked && now >= probe.at + ackTimeoutMs()) {
+            askHelpers();
         }
-        for (Iterator<Errand> each = errands.values().iterator(); each.hasNext();) {
-            Errand errand = each.next();
-            if (now >= errand.nackAt) {
+        for (Iterator<IndirectProbe> each = indirectProbes.values().iterator(); each.hasNext();) {
+            IndirectProbe indirect = each.next();
+            if (now >= indirect.nackAt) {
                 each.remove();
-                send(errand.asker, GossipMessage.Kind.NACK, errand.askersRound, errand.target);
+                send(indirect.requester, GossipMessage.Kind.NACK, indirect.requesterSequence, indirect.target);
             }
         }
         for (Member m : members) {
             if (m.rumor.state() == MemberState.SUSPECT && now >= m.suspectedAt + suspicionMs()) {
-                take(now, new MembershipRumor(m.rumor.member(), MemberState.DEAD, m.rumor.incarnation()));
+                apply(now, new MembershipRumor(m.rumor.member(), MemberState.DEAD, m.rumor.incarnation()));
             }
         }
         if (now >= nextProbeAt) {
@@ -157,11 +159,14 @@
         }
     }
 
-    /** This process was stopped: what it took for silence was its own, and what others have said since it has not read yet. */
-    private void wokenLate(double now) {
-        slowness = pace.maxSlowdown() - 1;
+    /**
+     * Handles that this process was stopped. The silence that it observed was caused by itself, and it has not yet read what the
+     * others sent meanwhile.
+     */
+    private void resumeAfterStop(double now) {
+        slowness = settings.maxSlowdown() - 1;
         probe = null;
-        errands.clear();
+        indirectProbes.clear();
         nextProbeAt = now + ackTimeoutMs();
         for (Member m : members) {
             if (m.rumor.state() == MemberState.SUSPECT) {
@@ -170,105 +175,110 @@
         }
     }
 
-    private void askOthers() {
-        probe.asked = true;
-        List<Integer> able = new ArrayList<>();
+    private void askHelpers() {
+        probe.helpersAsked = true;
+        List<Integer> candidates = new ArrayList<>();
         for (Member m : members) {
             int number = m.rumor.member();
             if (number != self && number != probe.target && m.rumor.state() == MemberState.ALIVE) {
-                able.add(number);
+                candidates.add(number);
             }
         }
-        for (int i = 0; i < pace.helpers() && !able.isEmpty(); i++) {
-            int helper = able.remove(random.nextInt(able.size()));
+        for (int i = 0; i < settings.helpers() && !candidates.isEmpty(); i++) {
+            int helper = candidates.remove(random.nextInt(candidates.size()));
             probe.nacksDue++;
-            send(helper, GossipMessage.Kind.PING_REQUEST, probe.round, probe.target);
+            send(helper, GossipMessage.Kind.PING_REQUEST, probe.sequence, probe.target);
         }
     }
 
     private void endProbe(double now) {
-        if (probe == null || probe.answered) {
+        if (probe == null || probe.acknowledged) {
             return;
         }
-        // Where nobody at all was heard meanwhile it is this member that is cut off or slow, and not all the others.
+        // If no member at all was heard meanwhile, this member is cut off or slow, and not all the others.
         if (lastHeardAt < probe.at) {
-            slower(1 + probe.nacksDue);
+            increaseSlowness(1 + probe.nacksDue);
         }
         MembershipRumor rumor = members.get(probe.target).rumor;
         if (rumor.state() == MemberState.ALIVE) {
-            take(now, new MembershipRumor(probe.target, MemberState.SUSPECT, rumor.incarnation()));
+            apply(now, new MembershipRumor(probe.target, MemberState.SUSPECT, rumor.incarnation()));
         }
     }
 
     private void beginProbe(double now) {
-        nextProbeAt = now + pace.periodMs() * (1 + slowness);
+        nextProbeAt = now + settings.periodMs() * (1 + slowness);
         probe = null;
-        if (order.isEmpty()) {
+        if (probeOrder.isEmpty()) {
             for (int i = 0; i < members.size(); i++) {
                 if (i != self) {
-                    order.add(random.nextInt(order.size() + 1), i);
+                    probeOrder.add(random.nextInt(probeOrder.size() + 1), i);
                 }
             }
         }
-        if (!order.isEmpty()) {
-            // The dead have their turn too: one that was cut off for long must be able to hear that it is taken for dead.
-            int target = order.remove(order.size() - 1);
-            probe = new Probe(target, nextRound(), now);
-            send(target, GossipMessage.Kind.PING, probe.round, target);
+        if (!probeOrder.isEmpty()) {
+            // Dead members are probed too: one that was cut off for long must be able to hear that it is assumed dead.
+            int target = probeOrder.remove(probeOrder.size() - 1);
+            probe = new Probe(target, nextSequence(), now);
+            send(target, GossipMessage.Kind.PING, probe.sequence, target);
         }
     }
 
-    private long nextRound() {
-        round = round + 1 & MASK;
-        return round;
+    private long nextSequence() {
+        sequence = sequence + 1 & MASK;
+        return sequence;
     }
 
-    private void slower(int by) {
-        slowness = Math.min(pace.maxSlowdown() - 1, slowness + by);
+    private void increaseSlowness(int by) {
+        slowness = Math.min(settings.maxSlowdown() - 1, slowness + by);
     }
 
     private double ackTimeoutMs() {
-        return pace.ackTimeoutMs() * (1 + slowness);
+        return settings.ackTimeoutMs() * (1 + slowness);
     }
 
     private double suspicionMs() {
-        return pace.suspicionPeriods() * Math.max(1, log2(members.size())) * pace.periodMs() * (1 + slowness);
+        return settings.suspicionPeriods() * Math.max(1, log2(members.size())) * settings.periodMs() * (1 + slowness);
     }
 
     private static double log2(int size) {
         return Math.log(size) / Math.log(2);
     }
 
-    /** A note has come from where the group knows this member to be; {@code from}: by that place, whatever the note says. */
-    public void received(double now, int from, GossipMessage note) {
-        if (from == self || note.from() != from) {
+    /**
+     * Handles a message.
+     *
+     * @param from the member at the address that it came from; ignored if the message names another sender
+     */
+    public void received(double now, int from, GossipMessage message) {
+        if (from == self || message.from() != from) {
             return;
         }
         Member sender = members.get(from);
         sender.heardAt = now;
         lastHeardAt = now;
-        for (MembershipRumor rumor : note.rumors()) {
-            take(now, rumor);
+        for (MembershipRumor rumor : message.rumors()) {
+            apply(now, rumor);
         }
         if (sender.rumor.state() != MemberState.ALIVE
-                || note.rumors().stream().anyMatch(w -> w.member() == from && sender.rumor.supersedes(w))) {
-            // It is there, and must hear what is said of it, or of an earlier life, to say otherwise.
-            fresh.put(from, 0);
+                || message.rumors().stream().anyMatch(r -> r.member() == from && sender.rumor.supersedes(r))) {
+            // The sender is there. It must learn what is reported about it, or about an earlier incarnation, to refute it.
+            timesSent.put(from, 0);
         }
-        switch (note.kind()) {
-            case PING -> send(from, GossipMessage.Kind.ACK, note.round(), self);
+        switch (message.kind()) {
+            case PING -> send(from, GossipMessage.Kind.ACK, message.sequence(), self);
             case PING_REQUEST -> {
-                if (note.target() != self) {
-                    long mine = nextRound();
-                    errands.put(mine, new Errand(from, note.round(), note.target(), now + NACK_SHARE * ackTimeoutMs()));
-                    send(note.target(), GossipMessage.Kind.PING, mine, note.target());
+                if (message.target() != self) {
+                    long own = nextSequence();
+                    indirectProbes.put(own, new IndirectProbe(from, message.sequence(), message.target(),
+                            now + NACK_SHARE * ackTimeoutMs()));
+                    send(message.target(), GossipMessage.Kind.PING, own, message.target());
                 } else {
-                    send(from, GossipMessage.Kind.ACK, note.round(), self);
+                    send(from, GossipMessage.Kind.ACK, message.sequence(), self);
                 }
             }
-            case ACK -> acked(from, note);
+            case ACK -> acknowledged(from, message);
             case NACK -> {
-                if (probe != null && note.round() == probe.round) {
+                if (probe != null && message.sequence() == probe.sequence) {
                     probe.nacksDue = Math.max(0, probe.nacksDue - 1);
                 }
             }
@@ -276,20 +286,23 @@
         }
     }
 
-    private void acked(int from, GossipMessage note) {
-        Errand errand = errands.get(note.round());
-        if (errand != null && errand.target == from) {
-            errands.remove(note.round());
-            send(errand.asker, GossipMessage.Kind.ACK, errand.askersRound, errand.target);
+    private void acknowledged(int from, GossipMessage message) {
+        IndirectProbe indirect = indirectProbes.get(message.sequence());
+        if (indirect != null && indirect.target == from) {
+            indirectProbes.remove(message.sequence());
+            send(indirect.requester, GossipMessage.Kind.ACK, indirect.requesterSequence, indirect.target);
         }
-        if (probe != null && !probe.answered && note.round() == probe.round && note.target() == probe.target) {
-            probe.answered = true;
+        if (probe != null && !probe.acknowledged && message.sequence() == probe.sequence && message.target() == probe.target) {
+            probe.acknowledged = true;
             slowness = Math.max(0, slowness - 1);
         }
     }
 
-    /** Takes a word that goes before what is known; one that says this member is not there is answered by a later incarnation. */
-    private void take(double now, MembershipRumor rumor) {
+    /**
+     * Applies a rumor that supersedes what is known. A rumor that this member itself is not alive, or is at a later incarnation,
+     * is refuted with an incarnation after that.
+     */
+    private void apply(double now, MembershipRumor rumor) {
         Member m = members.get(rumor.member());
         boolean first = !m.known;
         if (!first && !rumor.supersedes(m.rumor)) {
@@ -297,18 +310,18 @@
         }
         if (rumor.member() == self) {
             if (rumor.state() != MemberState.ALIVE || rumor.incarnation() > m.rumor.incarnation()) {
-                // Of this life, or of an earlier one whose clock was ahead.
-                slower(1);
+                // About this process, or about a previous one whose clock was ahead.
+                increaseSlowness(1);
                 m.rumor = new MembershipRumor(self, MemberState.ALIVE, rumor.incarnation() + 1 & MASK);
-                fresh.put(self, 0);
+                timesSent.put(self, 0);
             }
             return;
         }
         MemberState before = m.rumor.state();
         m.known = true;
         m.rumor = rumor;
-        m.toldAt = now;
-        fresh.put(rumor.member(), 0);
+        m.rumorAt = now;
+        timesSent.put(rumor.member(), 0);
         if (rumor.state() == MemberState.SUSPECT) {
             m.suspectedAt = now;
         }
@@ -317,71 +330,74 @@
         }
     }
 
-    /** Says that it goes, to as many as one note each reaches in a moment. */
+    /** Announces that this member leaves, to one member more than a probe has helpers. */
     public void leave() {
         MembershipRumor own = members.get(self).rumor;
         members.get(self).rumor = new MembershipRumor(self, MemberState.LEFT, own.incarnation());
-        fresh.put(self, 0);
+        timesSent.put(self, 0);
         List<Integer> others = new ArrayList<>();
         for (Member m : members) {
             if (m.rumor.member() != self && m.rumor.state() == MemberState.ALIVE) {
                 others.add(m.rumor.member());
             }
         }
-        for (int i = 0; i < 1 + pace.helpers() && !others.isEmpty(); i++) {
+        for (int i = 0; i < 1 + settings.helpers() && !others.isEmpty(); i++) {
             int to = others.remove(random.nextInt(others.size()));
-            send(to, GossipMessage.Kind.PING, nextRound(), to);
+            send(to, GossipMessage.Kind.PING, nextSequence(), to);
         }
     }
 
-    private void send(int to, GossipMessage.Kind kind, long noteRound, int target) {
-        actions.send(to, new GossipMessage(kind, self, noteRound, target, words(to)));
+    private void send(int to, GossipMessage.Kind kind, long messageSequence, int target) {
+        actions.send(to, new GossipMessage(kind, self, messageSequence, target, selectRumors(to)));
     }
 
-    /** One's own rumor, what the receiver is said to be, and those that have gone out least often. */
-    private List<MembershipRumor> words(int to) {
-        List<MembershipRumor> words = new ArrayList<>();
-        words.add(members.get(self).rumor);
-        if (members.get(to).rumor.state() != MemberState.ALIVE || fresh.getOrDefault(to, 1) == 0) {
-            words.add(members.get(to).rumor);
-        }
-        int most = (int) Math.ceil(3 * Math.max(1, log2(members.size())));
-        List<Map.Entry<Integer, Integer>> least = new ArrayList<>(fresh.entrySet());
-        least.sort(Comparator.comparingInt(Map.Entry::getValue));
-        for (Map.Entry<Integer, Integer> each : least) {
-            if (words.size() >= pace.rumorsPerMessage()) {
+    /**
+     * Selects the rumors of a message: this member's own, the one about the receiver if that needs to know it, and those that
+     * were sent least often. A rumor that was sent often enough is not spread any more.
+     */
+    private List<MembershipRumor> selectRumors(int to) {
+        List<MembershipRumor> rumors = new ArrayList<>();
+        rumors.add(members.get(self).rumor);
+        if (members.get(to).rumor.state() != MemberState.ALIVE || timesSent.getOrDefault(to, 1) == 0) {
+            rumors.add(members.get(to).rumor);
+        }
+        int maxTimes = (int) Math.ceil(3 * Math.max(1, log2(members.size())));
+        List<Map.Entry<Integer, Integer>> leastSent = new ArrayList<>(timesSent.entrySet());
+        leastSent.sort(Comparator.comparingInt(Map.Entry::getValue));
+        for (Map.Entry<Integer, Integer> each : leastSent) {
+            if (rumors.size() >= settings.rumorsPerMessage()) {
                 break;
             }
             MembershipRumor rumor = members.get(each.getKey()).rumor;
-            if (!words.contains(rumor)) {
-                words.add(rumor);
+            if (!rumors.contains(rumor)) {
+                rumors.add(rumor);
             }
-            if (each.getValue() + 1 >= most) {
-                fresh.remove(each.getKey());
+            if (each.getValue() + 1 >= maxTimes) {
+                timesSent.remove(each.getKey());
             } else {
-                fresh.put(each.getKey(), each.getValue() + 1);
+                timesSent.put(each.getKey(), each.getValue() + 1);
             }
         }
-        return words;
+        return rumors;
     }
 
-    /** What a member is held to be. */
+    /** Returns the assumed state of a member. */
     public MemberState state(int member) {
         return members.get(member).rumor.state();
     }
 
-    /** Members that are held to be alive or are only suspected, this one among them. */
+    /** Returns the number of members that are assumed alive or only suspected, including this one. */
     public int presentMembers() {
         return (int) members.stream().filter(m -> m.rumor.state() == MemberState.ALIVE || m.rumor.state() == MemberState.SUSPECT)
                 .count();
     }
 
-    /** How slow this member takes itself to be: 0 not at all. */
+    /** Returns how slow this member assumes itself to be: 0 for not slow. All time-outs are stretched by 1 + slowness. */
     public int slowness() {
         return slowness;
     }
 
-    /** The whole view, with ages. */
+    /** Returns the whole view. */
     public List<MemberView> view(double now) {
         return members.stream().map(m -> new MemberView(m.rumor.member(), m.rumor.state(), m.rumor.incarnation(),
                 m.rumor.member() == self ? 0 : now - m.heardAt)).toList();
--- a/src/main/java/slipfield/group/package-info.java
+++ b/src/main/java/slipfield/group/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Senders that know one another over the platform's notes: the form of a note. Who is there is decided in {@code group.decide}.
- * Nothing of the sender uses it yet.
+ * Group membership among senders, over the datagrams that the platform carries between them: the wire format. Which members are
+ * alive is decided in {@code group.decide}. Nothing in the sender uses this package yet.
  */
 package slipfield.group;
--- a/src/main/java/slipfield/membership/Instance.java
+++ b/src/main/java/slipfield/membership/Instance.java
@@ -1,14 +1,15 @@
 package slipfield.membership;
 
 /**
- * An endpoint, as one source tells of it. The same address and destination by two sources is one endpoint.
+ * An endpoint as one source reports it. Reports of several sources about the same address and destination concern the same
+ * endpoint.
  *
- * @param id its name at that source
+ * @param id its id at that source
  * @param address host and port
- * @param destination the pool that it is of
- * @param kind the kind of machine; empty: not told
- * @param zone empty: not told
- * @param weight 0: not told
+ * @param destination the destination whose pool it belongs to
+ * @param kind the kind of machine; empty if not reported
+ * @param zone empty if not reported
+ * @param weight 0 if not reported
  */
 public record Instance(String id, String address, long destination, String kind, String zone, double weight,
         Status status) {
--- a/src/main/java/slipfield/membership/Member.java
+++ b/src/main/java/slipfield/membership/Member.java
@@ -5,27 +5,27 @@
 /**
  * An endpoint in the merged view.
  *
- * @param statusBySource what each source says of it; one that doesn't name it is not there
+ * @param statusBySource the status that each source reports; sources that don't list the endpoint are missing
  * @param used whether the decision module may choose it
- * @param reason the reason for that
- * @param sinceMs when that began
- * @param usableAgainMs when it is used again at the earliest, where it is damped; 0 otherwise
+ * @param reason why it is used or not
+ * @param sinceMs when that reason began
+ * @param usableAgainMs if it is damped, the earliest time at which it is used again; 0 otherwise
  */
 public record Member(String id, Instance endpoint, Map<String, Status> statusBySource, boolean used, Reason reason, long sinceMs,
         long usableAgainMs) {
-    /** Why an endpoint is used, or isn't. */
+    /** Why an endpoint is used or not. */
     public enum Reason {
-        /** All that name it let it be used. */
+        /** Every source that lists it reports it as usable. */
         STEADY(true),
-        /** It should not be used, but the pool would lose too much at once without it. */
+        /** It should not be used, but the pool would lose too many endpoints at once without it. */
         HELD(true),
-        /** It is back and may be used, but not steady for long enough. */
+        /** It is usable again, but not yet for long enough. */
         DAMPED(false),
-        /** A source says that it failed its checks. */
+        /** A source reports that it failed its health checks. */
         CRITICAL(false),
-        /** A source says that it is taken out on purpose. */
+        /** A source reports that an operator has taken it out of service. */
         DRAINING(false),
-        /** No source names it any more. */
+        /** No source lists it any more. */
         GONE(false);
 
         private final boolean used;
@@ -34,7 +34,7 @@
             this.used = used;
         }
 
-        /** Whether one of which this is said is used. */
+        /** Returns whether an endpoint in this state is used. */
         public boolean used() {
             return used;
         }
--- a/src/main/java/slipfield/membership/Membership.java
+++ b/src/main/java/slipfield/membership/Membership.java
@@ -13,46 +13,47 @@
 import java.util.TreeMap;
 
 /**
- * The merged view of several sources. Quick to stop and slow to resume: an endpoint is used only while every source that
- * names it lets it be used, and one that had stopped only once it was steady for a time that grows with its stops. A
- * floor lies under each pool: a view that would empty it, or take more than a share of it at once, is held against the
- * last good one, but for what was drained on purpose. A source that fails says nothing, and its last word stands.
+ * Merges the endpoint lists of several sources into one view. Endpoints are taken out of use at once and brought back slowly:
+ * an endpoint is used only while every source that lists it reports it as usable, and one that was unusable is used again
+ * only after a time that grows with the number of its stops. Each pool has a floor: a view that would empty the pool, or
+ * remove more than a share of it at once, is not applied, and the endpoints of the last good view stay in use, except those
+ * that were drained. A source that fails reports nothing, and its last list stays valid.
  *
  * <p>Times are in ms on any clock that does not go back.
  */
 public final class Membership {
-    /** Fewer stops than this are none. */
-    private static final double FORGOTTEN = 0.05;
-    private static final int MOST_DOUBLINGS = 30;
+    /** A decayed number of stops below this counts as none. */
+    private static final double MIN_STOPS = 0.05;
+    private static final int MAX_DOUBLINGS = 30;
 
     private final MembershipRules rules;
-    /** In order of precedence: where several name an endpoint, the first one's attributes hold. */
+    /** In order of precedence: if several sources list an endpoint, the attributes of the first one are used. */
     private final Map<String, Source> sources = new LinkedHashMap<>();
     private final Map<Long, Pool> pools = new TreeMap<>();
-    /** Ids that endpoints bear. */
+    /** Ids that are assigned to endpoints. */
     private final Set<String> ids = new HashSet<>();
 
-    /** What one source said last. */
+    /** The last list of one source. */
     private static final class Source {
         private Map<String, Instance> instances = Map.of();
-        private long heardMs;
-        private boolean heard;
-        private Optional<String> trouble = Optional.empty();
+        private long reportedMs;
+        private boolean reported;
+        private Optional<String> error = Optional.empty();
     }
 
     /**
-     * How a source is.
+     * The state of a source.
      *
-     * @param reported whether it has ever told a view, be it in an earlier life
-     * @param ageMs how old its last word is
+     * @param reported whether a list of it is known, from this process or restored from a previous one
+     * @param ageMs how old its last report is
      * @param error why it can't be read now
      */
     public record SourceState(boolean reported, long ageMs, int endpoints, Optional<String> error) {
     }
 
-    /** What has changed: members that are new or otherwise than before, and ids that are no members any more. */
+    /** A change of the view: members that are new or have changed, and ids that are no longer members. */
     public record Change(List<Member> members, List<String> removed) {
-        /** Whether it says nothing. */
+        /** Returns whether nothing has changed. */
         public boolean isEmpty() {
             return members.isEmpty() && removed.isEmpty();
         }
@@ -61,17 +62,19 @@
     private static final class Endpoint {
         private final String key;
         private String id = "";
-        private Instance told;
-        private Map<String, Status> says = Map.of();
-        /** Empty: no source names it. */
+        private Instance attributes;
+        private Map<String, Status> statusBySource = Map.of();
+        /** The worst of the reported ones; empty if no source lists the endpoint. */
         private Optional<Status> status = Optional.empty();
-        /** Since when it could be used without a break; or has not been. */
-        private long turnedMs;
+        /** When it last became usable or unusable. */
+        private long usabilityChangedMs;
+        /** Stops so far, decayed as of {@code lastStopMs}. */
         private double stops;
-        private long stopsAtMs;
-        /** It could be used once, and then not. */
+        private long lastStopMs;
+        /** It was usable once, and then became unusable. */
         private boolean stopped;
-        private Member shown;
+        /** As it is in the view; null if it is not. */
+        private Member published;
 
         Endpoint(String key) {
             this.key = key;
@@ -89,220 +92,220 @@
     /** The endpoints of one destination. */
     private static final class Pool {
         private final Map<String, Endpoint> endpoints = new TreeMap<>();
-        /** Keys of what was used in the last good view, and when that was taken. */
-        private Set<String> good = Set.of();
-        private long goodMs;
-        /** Since when the floor holds; empty: it doesn't. */
+        /** Keys of the endpoints that were used in the last good view, and when that was taken. */
+        private Set<String> lastGood = Set.of();
+        private long lastGoodMs;
+        /** Since when the floor has kept endpoints in use; empty if it does not. */
         private Optional<Long> heldSince = Optional.empty();
         private boolean dirty;
-        /** When it must be looked at again though nothing is told. */
-        private long againMs = Long.MAX_VALUE;
+        /** When the pool must be evaluated again even if no source reports anything. */
+        private long nextEvaluationMs = Long.MAX_VALUE;
     }
 
-    /** Sources in order of precedence, the first one's attributes before the others'. */
+    /** Takes the sources' names in order of precedence: the attributes of an earlier source are preferred. */
     public Membership(MembershipRules rules, List<String> names) {
         this.rules = rules;
         names.forEach(name -> sources.put(name, new Source()));
     }
 
-    /** The whole list of a source, as it is now. */
+    /** Applies the current complete list of a source. */
     public Change update(long nowMs, String name, Collection<Instance> whole) {
-        return take(nowMs, name, whole, nowMs);
+        return apply(nowMs, name, whole, nowMs);
     }
 
-    /** What a source had said before this life, so long ago; what it has said in this life is not touched. */
+    /** Applies a source's list from a previous process, {@code ageMs} old. Ignored if a list of it is known. */
     public Change restore(long nowMs, String name, Collection<Instance> whole, long ageMs) {
-        return sources.get(name).heard ? new Change(List.of(), List.of()) : take(nowMs, name, whole, nowMs - ageMs);
+        return sources.get(name).reported ? new Change(List.of(), List.of()) : apply(nowMs, name, whole, nowMs - ageMs);
     }
 
-    /** A source can't be read: its last word stands. */
-    public void sourceFailed(String name, String why) {
-        sources.get(name).trouble = Optional.of(why);
+    /** Records that a source can't be read. Its last list stays valid. */
+    public void sourceFailed(String name, String error) {
+        sources.get(name).error = Optional.of(error);
     }
 
-    /** A source has answered that nothing is new. */
+    /** Records that a source has answered that nothing has changed. */
     public void sourceConfirmed(long nowMs, String name) {
         Source source = sources.get(name);
-        source.heardMs = nowMs;
-        source.trouble = Optional.empty();
+        source.reportedMs = nowMs;
+        source.error = Optional.empty();
     }
 
-    /** Looks again at what was damped or held. */
+    /** Evaluates again the pools with damped or held endpoints whose time has come. */
     public Change tick(long nowMs) {
         for (Pool pool : pools.values()) {
-            pool.dirty |= nowMs >= pool.againMs;
+            pool.dirty |= nowMs >= pool.nextEvaluationMs;
         }
-        return decide(nowMs);
+        return evaluate(nowMs);
     }
 
-    /** When {@link #tick} has something to do, if nothing is said before. */
+    /** Returns when {@link #tick} has to be called next, unless a source reports earlier; {@link Long#MAX_VALUE} for never. */
     public long nextTickMs() {
-        return pools.values().stream().mapToLong(p -> p.againMs).min().orElse(Long.MAX_VALUE);
+        return pools.values().stream().mapToLong(p -> p.nextEvaluationMs).min().orElse(Long.MAX_VALUE);
     }
 
-    /** The whole view, by destination and then address. */
+    /** Returns the whole view, ordered by destination and then address. */
     public List<Member> members() {
         List<Member> all = new ArrayList<>();
         for (Pool pool : pools.values()) {
-            pool.endpoints.values().stream().filter(e -> e.shown != null).forEach(e -> all.add(e.shown));
+            pool.endpoints.values().stream().filter(e -> e.published != null).forEach(e -> all.add(e.published));
         }
         return all;
     }
 
-    /** What a source said last, whatever became of it. It does not change when the source says something else. */
+    /** Returns the last list of a source, unfiltered. The returned collection stays the same when the source reports again. */
     public Collection<Instance> lastInstances(String name) {
         return Collections.unmodifiableCollection(sources.get(name).instances.values());
     }
 
-    /** Each source's state. */
+    /** Returns the state of each source. */
     public Map<String, SourceState> sourceStates(long nowMs) {
         Map<String, SourceState> states = new LinkedHashMap<>();
-        sources.forEach((name, s) -> states.put(name, new SourceState(s.heard, s.heard ? nowMs - s.heardMs : 0,
-                s.instances.size(), s.trouble)));
+        sources.forEach((name, s) -> states.put(name, new SourceState(s.reported, s.reported ? nowMs - s.reportedMs : 0,
+                s.instances.size(), s.error)));
         return states;
     }
 
-    /** Destinations whose floor holds, and since when. */
+    /** Returns the destinations whose floor keeps endpoints in use, and since when. */
     public Map<Long, Long> heldPools() {
         Map<Long, Long> held = new TreeMap<>();
         pools.forEach((destination, pool) -> pool.heldSince.ifPresent(since -> held.put(destination, since)));
         return held;
     }
 
-    private Change take(long nowMs, String name, Collection<Instance> whole, long heardMs) {
+    private Change apply(long nowMs, String name, Collection<Instance> whole, long reportedMs) {
         Source source = sources.get(name);
-        source.heard = true;
-        source.heardMs = heardMs;
-        source.trouble = Optional.empty();
+        source.reported = true;
+        source.reportedMs = reportedMs;
+        source.error = Optional.empty();
         Map<String, Instance> now = new HashMap<>();
-        // Named twice, the worse word holds: two registrations of one address are one endpoint.
+        // Two registrations of one address are one endpoint, and the worse status counts.
         whole.forEach(i -> now.merge(i.key(), i, (a, b) -> a.status().compareTo(b.status()) >= 0 ? a : b));
         Map<String, Instance> before = source.instances;
         source.instances = now;
         now.forEach((key, instance) -> {
             if (!instance.equals(before.get(key))) {
-                retold(nowMs, key, instance.destination());
+                mergeReports(nowMs, key, instance.destination());
             }
         });
         before.forEach((key, instance) -> {
             if (!now.containsKey(key)) {
-                retold(nowMs, key, instance.destination());
+                mergeReports(nowMs, key, instance.destination());
             }
         });
-        return decide(nowMs);
+        return evaluate(nowMs);
     }
 
-    /** What the sources say of this endpoint has changed. */
-    private void retold(long nowMs, String key, long destination) {
+    /** Merges what the sources report about this endpoint, after one of the reports has changed. */
+    private void mergeReports(long nowMs, String key, long destination) {
         Pool pool = pools.computeIfAbsent(destination, d -> new Pool());
         pool.dirty = true;
         Endpoint e = pool.endpoints.computeIfAbsent(key, Endpoint::new);
-        boolean could = e.usable();
-        Map<String, Status> says = new LinkedHashMap<>();
+        boolean wasUsable = e.usable();
+        Map<String, Status> statusBySource = new LinkedHashMap<>();
         Optional<Status> worst = Optional.empty();
-        boolean named = false;
+        boolean listed = false;
         for (Map.Entry<String, Source> s : sources.entrySet()) {
-            Instance told = s.getValue().instances.get(key);
-            if (told == null) {
+            Instance report = s.getValue().instances.get(key);
+            if (report == null) {
                 continue;
             }
-            says.put(s.getKey(), told.status());
-            if (!named) {
-                named = true;
-                e.told = told;
+            statusBySource.put(s.getKey(), report.status());
+            if (!listed) {
+                listed = true;
+                e.attributes = report;
                 if (e.id.isEmpty()) {
-                    e.id = id(s.getKey(), told);
+                    e.id = assignId(s.getKey(), report);
                 }
             }
-            if (worst.isEmpty() || told.status().compareTo(worst.get()) > 0) {
-                worst = Optional.of(told.status());
+            if (worst.isEmpty() || report.status().compareTo(worst.get()) > 0) {
+                worst = Optional.of(report.status());
             }
         }
-        e.says = says;
+        e.statusBySource = statusBySource;
         e.status = worst;
-        if (could != e.usable()) {
-            e.turnedMs = nowMs;
-            if (could) {
+        if (wasUsable != e.usable()) {
+            e.usabilityChangedMs = nowMs;
+            if (wasUsable) {
                 e.stopped = true;
-                e.stops = stops(e, nowMs) + 1;
-                e.stopsAtMs = nowMs;
+                e.stops = decayedStops(e, nowMs) + 1;
+                e.lastStopMs = nowMs;
             }
         }
     }
 
     /**
-     * Kept for as long as the endpoint is known: the core's account of it hangs on its id. The first source's ids stand as
-     * they are. Where the same id is at another address while the old one is still known, they are two endpoints: what
-     * is out at the old one must not be put down to the new one.
+     * Assigns an endpoint's id, which it keeps while it is known, because the core accounts for its calls under that id. The
+     * ids of the first source are used unchanged. If the same id appears at another address while the old one is still known,
+     * these are two endpoints: calls that are out at the old address must not be attributed to the new one.
      */
-    private String id(String source, Instance told) {
-        String id = sources.keySet().iterator().next().equals(source) ? told.id() : source + "/" + told.id();
+    private String assignId(String source, Instance report) {
+        String id = sources.keySet().iterator().next().equals(source) ? report.id() : source + "/" + report.id();
         if (ids.contains(id)) {
-            id += "@" + told.key();
+            id += "@" + report.key();
         }
         ids.add(id);
         return id;
     }
 
-    private double stops(Endpoint e, long nowMs) {
-        return e.stops * Math.pow(0.5, Math.max(0, nowMs - e.stopsAtMs) / (double) rules.forgiveMs());
+    private double decayedStops(Endpoint e, long nowMs) {
+        return e.stops * Math.pow(0.5, Math.max(0, nowMs - e.lastStopMs) / (double) rules.forgiveMs());
     }
 
-    /** When an endpoint that could be used now is used: at once where it never stopped. */
-    private long steadyAt(Endpoint e) {
-        // As it was when it turned: what is forgiven meanwhile must not end the wait early.
-        double stops = stops(e, e.turnedMs);
+    /** Returns when an endpoint that is usable now may be used: at once if it never stopped. */
+    private long usableAt(Endpoint e) {
+        // Decayed as of the moment when it became usable: stops that are forgotten meanwhile must not shorten the wait.
+        double stops = decayedStops(e, e.usabilityChangedMs);
         if (!e.stopped) {
-            return e.turnedMs;
+            return e.usabilityChangedMs;
         }
-        int doublings = (int) Math.min(MOST_DOUBLINGS, Math.max(0, Math.ceil(stops) - 1));
-        return e.turnedMs + Math.min(rules.mostSteadyMs(), rules.steadyMs() << doublings);
+        int doublings = (int) Math.min(MAX_DOUBLINGS, Math.max(0, Math.ceil(stops) - 1));
+        return e.usabilityChangedMs + Math.min(rules.mostSteadyMs(), rules.steadyMs() << doublings);
     }
 
-    private Change decide(long nowMs) {
+    private Change evaluate(long nowMs) {
         List<Member> changed = new ArrayList<>();
-        List<String> gone = new ArrayList<>();
+        List<String> removed = new ArrayList<>();
         pools.values().forEach(pool -> {
             if (pool.dirty) {
-                decide(nowMs, pool, changed, gone);
+                evaluate(nowMs, pool, changed, removed);
             }
         });
-        return new Change(changed, gone);
+        return new Change(changed, removed);
     }
 
-    private void decide(long nowMs, Pool pool, List<Member> changed, List<String> gone) {
+    private void evaluate(long nowMs, Pool pool, List<Member> changed, List<String> removed) {
         pool.dirty = false;
-        pool.againMs = Long.MAX_VALUE;
-        Map<String, Member.Reason> sorted = new HashMap<>();
+        pool.nextEvaluationMs = Long.MAX_VALUE;
+        Map<String, Member.Reason> reasons = new HashMap<>();
         Set<String> used = new HashSet<>();
         Set<String> damped = new HashSet<>();
         for (Endpoint e : pool.endpoints.values()) {
-            Member.Reason why = why(nowMs, e);
-            sorted.put(e.key, why);
-            if (why == Member.Reason.STEADY) {
+            Member.Reason reason = reason(nowMs, e);
+            reasons.put(e.key, reason);
+            if (reason == Member.Reason.STEADY) {
                 used.add(e.key);
-            } else if (why == Member.Reason.DAMPED) {
+            } else if (reason == Member.Reason.DAMPED) {
                 damped.add(e.key);
-                pool.againMs = Math.min(pool.againMs, steadyAt(e));
+                pool.nextEvaluationMs = Math.min(pool.nextEvaluationMs, usableAt(e));
             }
         }
-        held(nowMs, pool, used, damped).forEach(key -> sorted.put(key, Member.Reason.HELD));
+        held(nowMs, pool, used, damped).forEach(key -> reasons.put(key, Member.Reason.HELD));
         List<Endpoint> forgotten = new ArrayList<>();
         for (Endpoint e : pool.endpoints.values()) {
-            Member.Reason why = sorted.get(e.key);
-            if (why != Member.Reason.GONE) {
-                show(nowMs, e, why, changed);
+            Member.Reason reason = reasons.get(e.key);
+            if (reason != Member.Reason.GONE) {
+                publish(nowMs, e, reason, changed);
                 continue;
             }
-            if (e.shown != null) {
-                gone.add(e.id);
-                e.shown = null;
+            if (e.published != null) {
+                removed.add(e.id);
+                e.published = null;
             }
-            if (!e.stopped || stops(e, nowMs) < FORGOTTEN) {
+            if (!e.stopped || decayedStops(e, nowMs) < MIN_STOPS) {
                 forgotten.add(e);
             } else {
-                // Its stops are remembered for a while, should it come back.
-                pool.againMs = Math.min(pool.againMs, nowMs + rules.forgiveMs());
+                // Its stops are remembered for a while, in case it comes back.
+                pool.nextEvaluationMs = Math.min(pool.nextEvaluationMs, nowMs + rules.forgiveMs());
             }
         }
         forgotten.forEach(e -> {
@@ -311,45 +314,49 @@
         });
     }
 
-    private Member.Reason why(long nowMs, Endpoint e) {
+    private Member.Reason reason(long nowMs, Endpoint e) {
         if (e.status.isEmpty()) {
             return Member.Reason.GONE;
         }
         return switch (e.status.get()) {
             case DRAINING -> Member.Reason.DRAINING;
             case CRITICAL -> Member.Reason.CRITICAL;
-            case PASSING, WARNING -> nowMs < steadyAt(e) ? Member.Reason.DAMPED : Member.Reason.STEADY;
+            case PASSING, WARNING -> nowMs < usableAt(e) ? Member.Reason.DAMPED : Member.Reason.STEADY;
         };
     }
 
-    private void show(long nowMs, Endpoint e, Member.Reason why, List<Member> changed) {
-        Member was = e.shown;
-        long since = was != null && was.reason() == why ? was.sinceMs() : nowMs;
-        long again = why == Member.Reason.DAMPED ? steadyAt(e) : 0;
-        Member now = new Member(e.id, e.told, e.says, why.used(), why, since, again);
-        if (!now.equals(was)) {
-            e.shown = now;
+    private void publish(long nowMs, Endpoint e, Member.Reason reason, List<Member> changed) {
+        Member before = e.published;
+        long since = before != null && before.reason() == reason ? before.sinceMs() : nowMs;
+        long usableAgain = reason == Member.Reason.DAMPED ? usableAt(e) : 0;
+        Member now = new Member(e.id, e.attributes, e.statusBySource, reason.used(), reason, since, usableAgain);
+        if (!now.equals(before)) {
+            e.published = now;
             changed.add(now);
         }
     }
 
-    /** What is used all the same, since the pool would lose too much at once without it. */
+    /**
+     * Returns the keys of the endpoints that stay in use although they should not, because the pool would lose too many
+     * endpoints at once without them. Updates the last good view.
+     */
     private Set<String> held(long nowMs, Pool pool, Set<String> used, Set<String> damped) {
-        Set<String> reference = new HashSet<>(pool.good);
-        // What came since the last good view was taken is part of what there is to lose.
-        pool.endpoints.values().stream().filter(e -> e.shown != null && e.shown.used()).forEach(e -> reference.add(e.key));
+        Set<String> reference = new HashSet<>(pool.lastGood);
+        // Endpoints that came into use after the last good view was taken count as well.
+        pool.endpoints.values().stream().filter(e -> e.published != null && e.published.used())
+                .forEach(e -> reference.add(e.key));
         reference.removeIf(key -> pool.endpoints.get(key) == null || pool.endpoints.get(key).draining());
         boolean empty = used.isEmpty() && !(reference.isEmpty() && damped.isEmpty());
         boolean shrunk = used.size() < (1 - rules.mostShrink()) * reference.size();
         boolean accepted = !empty && pool.heldSince.isPresent()
                 && nowMs - pool.heldSince.get() >= rules.acceptMs();
         if (!empty && (!shrunk || accepted)) {
-            boolean windowOver = nowMs - pool.goodMs >= rules.windowMs();
+            boolean windowOver = nowMs - pool.lastGoodMs >= rules.windowMs();
             if (windowOver || accepted || pool.heldSince.isPresent() || used.size() >= reference.size()) {
-                pool.good = Set.copyOf(used);
-                pool.goodMs = nowMs;
+                pool.lastGood = Set.copyOf(used);
+                pool.lastGoodMs = nowMs;
             } else {
-                pool.againMs = Math.min(pool.againMs, pool.goodMs + rules.windowMs());
+                pool.nextEvaluationMs = Math.min(pool.nextEvaluationMs, pool.lastGoodMs + rules.windowMs());
             }
             pool.heldSince = Optional.empty();
             return Set.of();
@@ -357,10 +364,10 @@
         long since = pool.heldSince.orElse(nowMs);
         pool.heldSince = Optional.of(since);
         if (!empty) {
-            pool.againMs = Math.min(pool.againMs, since + rules.acceptMs());
+            pool.nextEvaluationMs = Math.min(pool.nextEvaluationMs, since + rules.acceptMs());
         }
         Set<String> held = new HashSet<>();
-        // What is back and only not steady goes before what has failed.
+        // Damped endpoints, which are usable again, are preferred over those that have failed.
         damped.stream().filter(key -> empty || reference.contains(key)).forEach(held::add);
         int enough = (int) Math.ceil((1 - rules.mostShrink()) * reference.size());
         if (used.size() + held.size() < Math.max(1, enough)) {
--- a/src/main/java/slipfield/membership/Status.java
+++ b/src/main/java/slipfield/membership/Status.java
@@ -1,17 +1,17 @@
 package slipfield.membership;
 
-/** What a source says of an endpoint. */
+/** The status that a source reports for an endpoint. A later constant is worse. */
 public enum Status {
     /** It may be used. */
     PASSING,
-    /** It may be used; its source has told a lower weight, if any. */
+    /** It may be used; its source may have reported a lower weight for it. */
     WARNING,
-    /** It failed its checks: nothing new goes there. */
+    /** It failed its health checks: nothing new is sent to it. */
     CRITICAL,
-    /** Somebody has taken it out on purpose: nothing new goes there, and no floor brings it back. */
+    /** An operator has taken it out of service: nothing new is sent to it, and the pool's minimum does not bring it back. */
     DRAINING;
 
-    /** Whether it may be used. */
+    /** Returns whether an endpoint with this status may be used. */
     public boolean usable() {
         return this == PASSING || this == WARNING;
     }
--- a/src/main/java/slipfield/membership/package-info.java
+++ b/src/main/java/slipfield/membership/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Which endpoints are members: the word of several sources made into one view, with damping of flaps and a floor under
- * each pool. Pure: no I/O, and no clock but the time it is told. Uses nothing of the project. Where a message goes is
- * still the decision module's affair.
+ * Decides which endpoints are members: merges the lists of several sources into one view, damps endpoints that flap, and
+ * keeps a minimum of endpoints in each pool. Pure logic: no I/O, no clock other than the time passed in, no dependency on the
+ * rest of the project. Which member a message goes to is decided by the decision module.
  */
 package slipfield.membership;
--- a/src/test/java/slipfield/admission/AdmissionControlTest.java
+++ b/src/test/java/slipfield/admission/AdmissionControlTest.java
@@ -12,13 +12,13 @@
 
     private final AdmissionControl admission = new AdmissionControl(1000);
 
-    private void hold(double now, int many) {
-        for (int i = 0; i < many; i++) {
+    private void add(double now, int messages) {
+        for (int i = 0; i < messages; i++) {
             admission.messageAdded(now, DEST);
         }
     }
 
-    /** Delivers one each so many milliseconds, from {@code from} to {@code to}; as many come in. */
+    /** Delivers one message every {@code everyMs}; {@code refilled}: each is replaced by a new one. */
     private void deliver(double from, double to, double everyMs, boolean refilled) {
         for (double now = from; now < to; now += everyMs) {
             admission.messageEnded(now, DEST, true);
@@ -29,27 +29,30 @@
     }
 
     @Test
-    void withoutEvidenceAClumpIsTakenOn() {
-        hold(0, 300);
+    void aBurstIsAcceptedWhileNoRateIsKnown() {
+        add(0, 300);
         assertTrue(admission.admit(10, DEST, LEFT, 300).accepted());
     }
 
     @Test
-    void whatWaitsForLongerThanTheMessageHasIsRefusedWithTheTimeToComeBack() {
-        hold(0, 30);
+    void aMessageWithLessTimeThanTheQueueTakesIsRefusedWithARetryTime() {
+        add(0, 30);
         deliver(0, 20_000, 500, true);
         AdmissionControl.Decision decision = admission.admit(20_000, DEST, 5000, 30);
-        assertFalse(decision.accepted(), "two a second, 30 wait, 5 s left");
+        assertFalse(decision.accepted(), "two deliveries a second, 30 waiting, 5 s left");
         assertTrue(decision.reason().contains("dest"), decision.reason());
         assertTrue(decision.retryAfterMs() >= 2000 && decision.retryAfterMs() <= 10_000, "wait " + decision.retryAfterMs());
-        assertTrue(admission.admit(20_000, DEST, 30_000, 30).accepted(), "in 30 s it goes");
-        assertTrue(admission.admit(20_000, DEST + 1, 5000, 30).accepted(), "another destination has its own");
+        assertTrue(admission.admit(20_000, DEST, 30_000, 30).accepted(), "30 s are enough");
+        assertTrue(admission.admit(20_000, DEST + 1, 5000, 30).accepted(), "another destination is not affected");
     }
 
-    /** Found by clients that heeded it: a sender that had just started told waits of 87 s, and stood idle. */
+    /**
+     * Guards against a rate taken from the first deliveries after a start: the sender then requested waits of 87 s, and clients
+     * that obeyed them left it idle.
+     */
     @Test
-    void theFirstDeliveriesOfALifeAreNoRate() {
-        hold(0, 30);
+    void theFirstDeliveriesAfterAStartGiveNoRate() {
+        add(0, 30);
         admission.messageEnded(100, DEST, true);
         assertTrue(admission.admit(110, DEST, LEFT, 29).accepted());
         deliver(110, 1900, 50, true);
@@ -57,33 +60,33 @@
     }
 
     @Test
-    void anOutageIsNotSlowness() {
-        hold(0, 200);
+    void anOutageDoesNotLowerTheRate() {
+        add(0, 200);
         deliver(0, 10_000, 20, true);
-        // Silent for 8 s: what it took before says what it will take when it is back.
+        // No delivery for 8 s: the rate before that is the rate expected after the outage.
         assertTrue(admission.admit(18_000, DEST, LEFT, 200).accepted());
-        hold(18_000, 500);
-        assertFalse(admission.admit(18_000, DEST, LEFT, 700).accepted(), "700 don't go in 12 s at 50 a second");
+        add(18_000, 500);
+        assertFalse(admission.admit(18_000, DEST, LEFT, 700).accepted(), "700 take more than 12 s at 50 a second");
     }
 
     @Test
-    void deliveriesThatGetFasterAfterAnOutageAreNotHeldAgainstIt() {
-        hold(0, 100);
+    void slowDeliveriesRightAfterAnOutageDoNotLowerTheRate() {
+        add(0, 100);
         deliver(0, 10_000, 20, true);
         deliver(20_000, 22_500, 500, true);
         assertTrue(admission.admit(22_500, DEST, LEFT, 100).accepted());
     }
 
     @Test
-    void fewWaitingAreNeverRefused() {
-        hold(0, AdmissionControl.MIN_WAITING - 1);
+    void aDestinationWithFewWaitingMessagesIsNeverRefused() {
+        add(0, AdmissionControl.MIN_WAITING - 1);
         deliver(0, 20_000, 2500, true);
         assertTrue(admission.admit(20_000, DEST, 1000, 15).accepted());
     }
 
     @Test
-    void aFullSenderSaysWhenThereIsRoom() {
-        hold(0, 1000);
+    void aFullSenderReportsWhenItWillHaveRoom() {
+        add(0, 1000);
         deliver(0, 10_000, 10, true);
         AdmissionControl.Decision decision = admission.admit(10_000, DEST, LEFT, 1000);
         assertFalse(decision.accepted());
@@ -91,7 +94,7 @@
     }
 
     @Test
-    void aLateLoopRefusesUntilItHasCaughtUp() {
+    void aLateEventLoopRefusesUntilItHasCaughtUp() {
         admission.recordLateness(1000, 20);
         assertTrue(admission.admit(1001, DEST, LEFT, 0).accepted());
         admission.recordLateness(2000, AdmissionControl.OVERLOAD_LATENESS_MS + 100);
@@ -103,6 +106,6 @@
         admission.recordLateness(3000, 800);
         admission.recordLateness(3010, 0);
         admission.recordLateness(3020, 0);
-        assertTrue(admission.admit(3021, DEST, LEFT, 0).accepted(), "two in time halve what was late");
+        assertTrue(admission.admit(3021, DEST, LEFT, 0).accepted(), "each task in time halves the recorded lateness");
     }
 }
--- a/src/test/java/slipfield/membership/MembershipHistoriesTest.java
+++ b/src/test/java/slipfield/membership/MembershipHistoriesTest.java
@@ -13,7 +13,7 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** Seeded histories of what sources may say, and what must hold after each word. */
+/** Random sequences of source reports, by seed, with invariants that are checked after each report. */
 class MembershipHistoriesTest {
     private static final int HISTORIES = 10_000;
     private static final int STEPS = 40;
@@ -31,11 +31,11 @@
         private final int seed;
         private final Random random;
         private final Membership view = new Membership(RULES, SOURCES);
-        private final Map<String, Map<String, Instance>> said = new HashMap<>();
-        /** What whoever applies the changes has. */
+        private final Map<String, Map<String, Instance>> lists = new HashMap<>();
+        /** The view of a caller that applies only the reported changes. */
         private final Map<String, Member> applied = new HashMap<>();
-        /** When each endpoint could last not be used, though it could before. */
-        private final Map<String, Long> turned = new HashMap<>();
+        /** When each endpoint last became usable. */
+        private final Map<String, Long> usableSince = new HashMap<>();
         private final Set<String> usableBefore = new HashSet<>();
         private final Set<String> everUsed = new HashSet<>();
         private Map<Long, Set<String>> usedBefore = Map.of();
@@ -45,7 +45,7 @@
         History(int seed) {
             this.seed = seed;
             this.random = new Random(seed);
-            SOURCES.forEach(s -> said.put(s, new HashMap<>()));
+            SOURCES.forEach(s -> lists.put(s, new HashMap<>()));
         }
 
         void play() {
@@ -57,9 +57,9 @@
                     change = view.tick(now);
                 } else {
                     String source = SOURCES.get(random.nextInt(SOURCES.size()));
-                    mutate(said.get(source));
-                    note();
-                    change = view.update(now, source, said.get(source).values());
+                    mutate(lists.get(source));
+                    recordUsable();
+                    change = view.update(now, source, lists.get(source).values());
                 }
                 check(change, "seed " + seed + ", step " + step);
             }
@@ -84,23 +84,23 @@
             }
         }
 
-        private Map<String, Status> worst() {
+        private Map<String, Status> worstStatuses() {
             Map<String, Status> worst = new HashMap<>();
-            said.values().forEach(list -> list.values().forEach(i -> worst.merge(i.key(), i.status(),
+            lists.values().forEach(list -> list.values().forEach(i -> worst.merge(i.key(), i.status(),
                     (a, b) -> a.compareTo(b) > 0 ? a : b)));
             return worst;
         }
 
-        private void note() {
+        private void recordUsable() {
             Set<String> usable = new HashSet<>();
-            worst().forEach((key, status) -> {
+            worstStatuses().forEach((key, status) -> {
                 if (status.usable()) {
                     usable.add(key);
                 }
             });
             for (String key : usable) {
                 if (!usableBefore.contains(key)) {
-                    turned.put(key, now);
+                    usableSince.put(key, now);
                 }
             }
             usableBefore.clear();
@@ -113,7 +113,7 @@
             List<Member> members = view.members();
             assertEquals(members.size(), members.stream().map(Member::id).distinct().count(), at + ": ids");
             assertEquals(members.stream().collect(Collectors.toMap(Member::id, m -> m)), applied, at + ": changes");
-            Map<String, Status> worst = worst();
+            Map<String, Status> worst = worstStatuses();
             Map<Long, Set<String>> used = new HashMap<>();
             for (Member m : members) {
                 String key = m.endpoint().key();
@@ -124,28 +124,28 @@
                     continue;
                 }
                 used.computeIfAbsent(pool, p -> new HashSet<>()).add(key);
-                assertTrue(status != Status.DRAINING, at + ": drained and used " + m);
+                assertTrue(status != Status.DRAINING, at + ": draining but used " + m);
                 if (m.reason() == Member.Reason.STEADY) {
                     assertTrue(status != null && status.usable(), at + ": " + m);
                     assertTrue(!everUsed.contains(key) || heldBefore.containsKey(pool)
                             || usedBefore.getOrDefault(pool, Set.of()).contains(key)
-                            || now - turned.get(key) >= RULES.steadyMs(), at + ": resumed too soon " + m);
+                            || now - usableSince.get(key) >= RULES.steadyMs(), at + ": used again too soon " + m);
                 } else {
-                    assertTrue(view.heldPools().containsKey(pool), at + ": held without a floor " + m);
+                    assertTrue(view.heldPools().containsKey(pool), at + ": held although the floor is not in effect " + m);
                 }
             }
-            floors(worst, used, at);
+            checkFloors(worst, used, at);
             used.values().forEach(everUsed::addAll);
-            // One that left may have been forgotten: it is new then.
+            // An endpoint that left may have been forgotten, and then counts as new.
             everUsed.retainAll(worst.keySet());
             usedBefore = used;
             heldBefore = view.heldPools();
         }
 
-        private void floors(Map<String, Status> worst, Map<Long, Set<String>> used, String at) {
+        private void checkFloors(Map<String, Status> worst, Map<Long, Set<String>> used, String at) {
             worst.forEach((key, status) -> assertTrue(!status.usable()
                     || used.containsKey(Long.parseLong(key.substring(0, key.indexOf('@')))), at
-                            + ": a pool is empty though one could be used"));
+                            + ": a pool is empty although an endpoint is usable"));
             usedBefore.forEach((pool, before) -> {
                 List<String> lost = new ArrayList<>(before);
                 lost.removeIf(key -> worst.get(key) == Status.DRAINING);
--- a/src/test/java/slipfield/membership/MembershipTest.java
+++ b/src/test/java/slipfield/membership/MembershipTest.java
@@ -12,7 +12,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** The merged view, by a clock that the test turns. */
+/** The merged view, on a simulated clock. */
 class MembershipTest {
     private static final MembershipRules RULES = new MembershipRules(1000, 60_000, 30_000, 0.5, 10_000, 30_000);
     private final Membership view = new Membership(RULES, List.of("platform", "consul"));
@@ -31,26 +31,26 @@
                 .collect(Collectors.joining(" "));
     }
 
-    private Member.Reason why(int n) {
+    private Member.Reason reason(int n) {
         return view.members().stream().filter(m -> m.endpoint().id().equals("e" + n)).findFirst().orElseThrow().reason();
     }
 
     @Test
-    void whatEitherSourceStopsIsNotUsed() {
+    void anEndpointThatEitherSourceReportsAsUnusableIsNotUsed() {
         view.update(0, "platform", all(4));
         view.update(0, "consul", all(4));
         assertEquals("e0 e1 e2 e3", used());
         Membership.Change change = view.update(5, "consul", all(4, Status.CRITICAL));
         assertEquals("e1 e2 e3", used());
-        assertEquals(List.of("e0"), change.members().stream().map(Member::id).toList(), "only what has changed");
+        assertEquals(List.of("e0"), change.members().stream().map(Member::id).toList(), "only the member that changed");
         view.update(6, "platform", all(4, Status.PASSING, Status.DRAINING));
         assertEquals("e2 e3", used());
-        assertEquals(Member.Reason.CRITICAL, why(0));
-        assertEquals(Member.Reason.DRAINING, why(1));
+        assertEquals(Member.Reason.CRITICAL, reason(0));
+        assertEquals(Member.Reason.DRAINING, reason(1));
     }
 
     @Test
-    void theFirstSourcesWordOnAttributesHoldsAndItsIdsStandAsTheyAre() {
+    void attributesComeFromTheFirstSourceAndItsIdsAreUnchanged() {
         view.update(0, "consul", List.of(new Instance("s/n/x", "127.0.0.1:9000", 7, "k", "z", 9, Status.PASSING),
                 new Instance("s/n/y", "127.0.0.1:9001", 7, "k", "z", 9, Status.PASSING)));
         view.update(0, "platform", all(1));
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void aSourceThatFailsForLongKeepsItsWordAndItsAgeIsTold() {
+    void theLastListOfAFailingSourceStaysValidAndItsAgeIsReported() {
         view.update(1000, "consul", all(3));
         for (int s = 1; s < 3600; s++) {
             view.sourceFailed("consul", "unreachable");
@@ -76,23 +76,23 @@
     }
 
     @Test
-    void anEmptyListIsHeldForAsLongAsItLasts() {
+    void anEmptyListNeverEmptiesAPool() {
         view.update(0, "consul", all(3));
         view.update(1, "consul", List.of());
         assertEquals("e0 e1 e2", used());
-        assertEquals(Member.Reason.HELD, why(0));
+        assertEquals(Member.Reason.HELD, reason(0));
         assertTrue(view.heldPools().containsKey(7L));
         view.tick(3_600_000);
         assertEquals("e0 e1 e2", used());
         view.update(3_600_001, "consul", all(3));
         view.tick(3_700_000);
         assertEquals("e0 e1 e2", used());
-        assertEquals(Member.Reason.STEADY, why(0));
+        assertEquals(Member.Reason.STEADY, reason(0));
         assertTrue(view.heldPools().isEmpty());
     }
 
     @Test
-    void aPoolThatIsDrainedOnPurposeEmptiesAtOnce() {
+    void aPoolThatIsDrainedEmptiesAtOnce() {
         view.update(0, "consul", all(3));
         view.update(1, "consul", all(3, Status.DRAINING, Status.DRAINING, Status.DRAINING));
         assertEquals("", used());
@@ -100,17 +100,17 @@
     }
 
     @Test
-    void whatIsDrainedLeavesAlsoWhereTheRestIsHeld() {
+    void aDrainedEndpointLeavesEvenWhenTheOthersAreHeld() {
         view.update(0, "consul", all(4));
         view.update(1, "consul", all(4, Status.DRAINING, Status.CRITICAL, Status.CRITICAL, Status.CRITICAL));
         assertEquals("e1 e2 e3", used());
     }
 
     @Test
-    void aShrinkBeyondTheShareIsHeldAndAcceptedOnceItHasStood() {
+    void aLossBeyondTheShareIsHeldAndThenAccepted() {
         view.update(0, "consul", all(6));
-        Status[] four = {Status.CRITICAL, Status.CRITICAL, Status.CRITICAL, Status.CRITICAL};
-        view.update(1, "consul", all(6, four));
+        Status[] fourCritical = {Status.CRITICAL, Status.CRITICAL, Status.CRITICAL, Status.CRITICAL};
+        view.update(1, "consul", all(6, fourCritical));
         assertEquals("e0 e1 e2 e3 e4 e5", used());
         assertEquals(30_001, view.nextTickMs());
         view.tick(30_000);
@@ -121,19 +121,19 @@
     }
 
     @Test
-    void whatGoesOneByOneWithinTheWindowIsAShrinkToo() {
+    void lossesOneByOneWithinTheWindowAreHeldToo() {
         view.update(0, "consul", all(6));
-        Status[] gone = new Status[6];
-        Arrays.fill(gone, Status.PASSING);
+        Status[] statuses = new Status[6];
+        Arrays.fill(statuses, Status.PASSING);
         for (int n = 0; n < 4; n++) {
-            gone[n] = Status.CRITICAL;
-            view.update(100 * (n + 1), "consul", all(6, gone));
+            statuses[n] = Status.CRITICAL;
+            view.update(100 * (n + 1), "consul", all(6, statuses));
         }
         assertEquals("e0 e1 e2 e3 e4 e5", used());
     }
 
     @Test
-    void oneThatFlipsEverySecondIsNotUsedAgainUntilSteadyForLong() {
+    void anEndpointThatFlapsEverySecondIsDampedForLong() {
         view.update(0, "consul", all(4));
         int uses = 0;
         for (int s = 1; s <= 60; s++) {
@@ -143,9 +143,9 @@
         }
         assertEquals(0, uses);
         view.update(61_000, "consul", all(4, Status.PASSING));
-        assertEquals(Member.Reason.DAMPED, why(0));
+        assertEquals(Member.Reason.DAMPED, reason(0));
         long again = view.nextTickMs();
-        assertTrue(again >= 61_000 + 30_000, "grown by its stops: " + again);
+        assertTrue(again >= 61_000 + 30_000, "grown by the number of stops: " + again);
         view.tick(again - 1);
         assertFalse(used().startsWith("e0"));
         view.tick(again);
@@ -153,7 +153,7 @@
     }
 
     @Test
-    void oneStopIsWaitedOutForTheShortestTimeAndForgivenLater() {
+    void oneStopIsDampedForTheShortestTimeAndForgottenLater() {
         view.update(0, "consul", all(4));
         for (long at = 10_000; at < 2_000_000; at += 300_000) {
             view.update(at, "consul", all(4, Status.CRITICAL));
@@ -166,15 +166,15 @@
     }
 
     @Test
-    void oneThatLeavesAndComesBackEverySecondFlapsToo() {
+    void anEndpointThatLeavesTheListAndComesBackIsDamped() {
         view.update(0, "consul", all(4));
         view.update(1000, "consul", all(4).subList(1, 4));
         view.update(2000, "consul", all(4));
-        assertEquals(Member.Reason.DAMPED, why(0));
+        assertEquals(Member.Reason.DAMPED, reason(0));
     }
 
     @Test
-    void aPoolOfOneThatFlapsIsNeverEmpty() {
+    void aPoolWithOneFlappingEndpointIsNeverEmpty() {
         view.update(0, "consul", all(1));
         for (int s = 1; s <= 60; s++) {
             view.update(s * 1000L, "consul", all(1, s % 2 == 1 ? Status.CRITICAL : Status.PASSING));
@@ -193,17 +193,17 @@
     }
 
     @Test
-    void aViewOfAnEarlierLifeIsTakenUpUntilItsSourceSpeaks() {
+    void aListOfThePreviousProcessIsUsedUntilItsSourceReports() {
         view.restore(1_000_000, "consul", all(3), 500_000);
         assertEquals("e0 e1 e2", used());
         assertEquals(500_000, view.sourceStates(1_000_000).get("consul").ageMs());
         view.update(1_000_001, "consul", all(2));
         assertEquals("e0 e1", used());
-        assertTrue(view.restore(1_000_002, "consul", all(4), 0).isEmpty(), "its own word goes before");
+        assertTrue(view.restore(1_000_002, "consul", all(4), 0).isEmpty(), "the source has reported since");
     }
 
     @Test
-    void twoRegistrationsOfOneAddressAreOneEndpointAndTheWorseWordHolds() {
+    void twoRegistrationsOfOneAddressAreOneEndpointWithTheWorseStatus() {
         List<Instance> twice = new ArrayList<>(all(3));
         twice.add(new Instance("again", "127.0.0.1:9000", 7, "m", "a", 1, Status.CRITICAL));
         view.update(0, "consul", twice);
@@ -211,8 +211,8 @@
     }
 
     @Test
-    void rulesOutOfRangeAreNamed() {
-        assertEquals("most_shrink is a share, 0 to 1", assertThrows(IllegalArgumentException.class,
+    void aRuleOutOfRangeIsNamedInTheError() {
+        assertEquals("most_shrink must be a share from 0 to 1", assertThrows(IllegalArgumentException.class,
                 () -> new MembershipRules(1, 1, 1, 1.5, 1, 1)).getMessage());
         assertThrows(IllegalArgumentException.class, () -> new MembershipRules(2, 1, 1, 0.5, 1, 1));
     }
