--- a/src/test/java/slipfield/group/decide/SwimSimulation.java
+++ b/src/test/java/slipfield/group/decide/SwimSimulation.java
@@ -8,107 +8,111 @@
 import slipfield.rig.plan.Conditions;
 import slipfield.rig.plan.Wire;
 
-/** A group on one clock, with a wire for each ordered pair; members die, stop, go on and come back in a new life. */
+/**
+ * A simulated group on one clock, with a network link for each ordered pair of members. Members can be killed, stopped, resumed
+ * and restarted.
+ */
 final class SwimSimulation extends SimulatedTime {
     final int size;
     final List<SwimMember> members = new ArrayList<>();
-    final boolean[] gone;
+    final boolean[] killed;
     final boolean[] stopped;
-    long notes;
+    long messages;
     long bytes;
     int longest;
-    private final Wire[][] wires;
+    private final Wire[][] links;
     private final SplittableRandom random;
-    private final List<List<Runnable>> whileStopped = new ArrayList<>();
+    private final List<List<Runnable>> deferred = new ArrayList<>();
 
     SwimSimulation(long seed, int size) {
         this.size = size;
         this.random = new SplittableRandom(seed);
-        this.gone = new boolean[size];
+        this.killed = new boolean[size];
         this.stopped = new boolean[size];
-        this.wires = new Wire[size][size];
+        this.links = new Wire[size][size];
         for (int i = 0; i < size; i++) {
-            whileStopped.add(new ArrayList<>());
+            deferred.add(new ArrayList<>());
             for (int j = 0; j < size; j++) {
-                wires[i][j] = new Wire(random.split());
+                links[i][j] = new Wire(random.split());
             }
         }
-        all((from, to) -> new Conditions(3, 25, 0, 0, 0, false));
+        setLinks((from, to) -> new Conditions(3, 25, 0, 0, 0, false));
         for (int i = 0; i < size; i++) {
             members.add(null);
-            begin(i, 1);
+            start(i, 1);
         }
     }
 
-    interface Link {
+    interface LinkConditions {
         Conditions between(int from, int to);
     }
 
-    void all(Link link) {
+    void setLinks(LinkConditions conditions) {
         for (int i = 0; i < size; i++) {
             for (int j = 0; j < size; j++) {
-                wires[i][j].conditions(link.between(i, j));
+                links[i][j].conditions(conditions.between(i, j));
             }
         }
     }
 
-    /** A life of this member. */
-    void begin(int number, long incarnation) {
-        gone[number] = false;
-        SwimMember group = new SwimMember(now, number, size, incarnation, SwimSettings.DEFAULT, random.split(), new SwimMember.Actions() {
+    /** Starts a new process of this member. */
+    void start(int number, long incarnation) {
+        killed[number] = false;
+        SwimMember instance = new SwimMember(now, number, size, incarnation, SwimSettings.DEFAULT, random.split(),
+                new SwimMember.Actions() {
             @Override
-            public void send(int to, GossipMessage note) {
-                put(number, to, GossipCodec.write(note));
+            public void send(int to, GossipMessage message) {
+                transmit(number, to, GossipCodec.write(message));
             }
 
             @Override
             public void changed(int member, MemberState state) {
-                // The view is asked.
+                // The tests read the view instead.
             }
         });
-        members.set(number, group);
-        wake(number, group);
+        members.set(number, instance);
+        wake(number, instance);
     }
 
-    private void wake(int number, SwimMember group) {
-        at(Math.max(now, group.dueAt()), () -> {
-            if (members.get(number) == group && !gone[number]) {
+    private void wake(int number, SwimMember instance) {
+        at(Math.max(now, instance.dueAt()), () -> {
+            if (members.get(number) == instance && !killed[number]) {
                 run(number, () -> {
-                    group.tick(now);
-                    wake(number, group);
+                    instance.tick(now);
+                    wake(number, instance);
                 });
             }
         });
     }
 
-    /** Later, where it is stopped: all at once when it goes on. */
+    /** Runs a step of a member; while the member is stopped, the step waits until it resumes. */
     private void run(int number, Runnable step) {
         if (stopped[number]) {
-            whileStopped.get(number).add(step);
+            deferred.get(number).add(step);
         } else {
             step.run();
         }
     }
 
-    private void put(int from, int to, byte[] note) {
-        notes++;
-        bytes += note.length;
-        longest = Math.max(longest, note.length);
-        for (double out : wires[from][to].datagram(now)) {
+    private void transmit(int from, int to, byte[] message) {
+        messages++;
+        bytes += message.length;
+        longest = Math.max(longest, message.length);
+        for (double out : links[from][to].datagram(now)) {
             at(out, () -> {
-                if (!gone[to]) {
-                    SwimMember group = members.get(to);
-                    run(to, () -> GossipCodec.read(note, size).ifPresent(n -> group.received(now, from, n)));
+                if (!killed[to]) {
+                    SwimMember instance = members.get(to);
+                    run(to, () -> GossipCodec.read(message, size).ifPresent(n -> instance.received(now, from, n)));
                 }
             });
         }
     }
 
-    void goOn(int number) {
+    void resume(int number) {
         stopped[number] = false;
-        List<Runnable> late = List.copyOf(whileStopped.get(number));
-        whileStopped.get(number).clear();
-        late.forEach(Runnable::run);
+        List<Runnable> steps = List.copyOf(deferred.get(number));
+        deferred.get(number).clear();
+        steps.forEach(Runnable::run);
     }
 
     SwimSimulation until(double end) {
@@ -116,28 +120,28 @@
         return this;
     }
 
-    /** How many of those that live hold this member for that. */
-    long held(int member, MemberState state) {
-        long held = 0;
+    /** Returns how many running members have this member in that state. */
+    long countState(int member, MemberState state) {
+        long count = 0;
         for (int i = 0; i < size; i++) {
-            held += i != member && !gone[i] && !stopped[i] && members.get(i).state(member) == state ? 1 : 0;
+            count += i != member && !killed[i] && !stopped[i] && members.get(i).state(member) == state ? 1 : 0;
         }
-        return held;
+        return count;
     }
 
-    long living() {
-        long living = 0;
+    long countRunning() {
+        long running = 0;
         for (int i = 0; i < size; i++) {
-            living += gone[i] || stopped[i] ? 0 : 1;
+            running += killed[i] || stopped[i] ? 0 : 1;
         }
-        return living;
+        return running;
     }
 
-    /** Words that one that lives holds another that lives for dead. */
+    /** Returns in how many cases a running member assumes that another running member is dead. */
     long falseDeaths() {
         long wrong = 0;
         for (int i = 0; i < size; i++) {
-            wrong += gone[i] || stopped[i] ? 0 : held(i, MemberState.DEAD);
+            wrong += killed[i] || stopped[i] ? 0 : countState(i, MemberState.DEAD);
         }
         return wrong;
     }
