--- a/src/main/java/slipfield/admission/AdmissionControl.java
+++ b/src/main/java/slipfield/admission/AdmissionControl.java
@@ -116,7 +116,7 @@
         }
     }
 
-    /** Records that a due task ran {@code lateMs} late. While the previous lateness is valid, half of it is the least that is kept. */
+    /** Records that a due task ran {@code lateMs} late. At least half of the previous lateness is kept while that is valid. */
     public void recordLateness(double now, double lateMs) {
         late = now - lateAt < LATENESS_VALID_MS ? Math.max(lateMs, late / 2) : lateMs;
         lateAt = now;
--- a/src/test/java/slipfield/group/decide/SwimMemberTest.java
+++ b/src/test/java/slipfield/group/decide/SwimMemberTest.java
@@ -45,7 +45,7 @@
         }
     }
 
-    /** With a fifth of all messages lost and some duplicated, fewer than one in a thousand views take a running member for dead. */
+    /** With a fifth of all messages lost and some duplicated, fewer than one state in a thousand is a false death. */
     @Test
     void lostMessagesAloneMakeHardlyAnyMemberLookDead() {
         long wrong = 0;
