--- a/src/main/java/slipfield/group/decide/SwimMember.java
+++ b/src/main/java/slipfield/group/decide/SwimMember.java
@@ -330,7 +330,7 @@
         }
     }
 
-    /** Announces that this member leaves, to one member more than a probe has helpers. */
+    /** Announces that this member leaves, to at most {@code helpers} + 1 members that are alive. */
     public void leave() {
         MembershipRumor own = members.get(self).rumor;
         members.get(self).rumor = new MembershipRumor(self, MemberState.LEFT, own.incarnation());
--- a/src/main/java/slipfield/membership/Status.java
+++ b/src/main/java/slipfield/membership/Status.java
@@ -8,7 +8,7 @@
     WARNING,
     /** It failed its health checks: nothing new is sent to it. */
     CRITICAL,
-    /** An operator has taken it out of service: nothing new is sent to it, and the pool's minimum does not bring it back. */
+    /** An operator has taken it out of service: nothing new is sent to it, and the pool's floor does not bring it back. */
     DRAINING;
 
     /** Returns whether an endpoint with this status may be used. */
