--- a/src/main/java/slipfield/work/Worker.java
+++ b/src/main/java/slipfield/work/Worker.java
@@ -77,7 +77,7 @@
 
     /** Adds a kind of work; its name must be new. */
     public void registerKind(Kind kind) {
-        scheduler.kind(kind, nowMs());
+        scheduler.addKind(kind, nowMs());
     }
 
     /** Adds a job and returns its number; empty if there are too many. */
@@ -98,7 +98,7 @@
 
     /** Changes a job's grade. */
     public void setGrade(long number, Grade grade) {
-        scheduler.raise(number, grade, nowMs());
+        scheduler.raiseGrade(number, grade, nowMs());
         run();
     }
 
@@ -120,7 +120,7 @@
         if (!closed) {
             loop.schedule(this::checkLateness, CHECK_MS, TimeUnit.MILLISECONDS);
         }
-        scheduler.watch(now);
+        scheduler.checkOverruns(now);
         handleEvents();
         run();
     }
@@ -129,7 +129,7 @@
         if (closed) {
             return;
         }
-        scheduler.turn();
+        scheduler.beginIteration();
         long until = System.nanoTime() + ITERATION_NANOS;
         while (System.nanoTime() < until && poolSlices < POOL_THREADS + POOL_QUEUE) {
             Optional<Scheduler.Slice> next = scheduler.next(nowMs(), lateness);
@@ -172,12 +172,12 @@
     private void sliceEnded(Scheduler.Slice slice, SliceOutcome outcome) {
         Cost cost = new Cost(outcome.cpuMs, outcome.done.bytes(), outcome.done.more());
         if (outcome.thrown == null) {
-            scheduler.ran(slice.job(), cost, nowMs());
+            scheduler.sliceDone(slice.job(), cost, nowMs());
         } else {
             Log.warn("work.threw", "job", slice.name(), "kind", slice.kind(), "cause", outcome.thrown);
-            scheduler.threw(slice.job(), cost, nowMs());
+            scheduler.sliceThrew(slice.job(), cost, nowMs());
         }
-        if (!scheduler.knows(slice.job())) {
+        if (!scheduler.contains(slice.job())) {
             tasks.remove(slice.job());
         }
     }
@@ -201,10 +201,10 @@
 
     /** Logs the scheduler's events, and drops the tasks of jobs that it dropped. */
     private void handleEvents() {
-        List<String> events = scheduler.events();
+        List<String> events = scheduler.takeEvents();
         if (!events.isEmpty()) {
             events.forEach(event -> Log.warn("work.changed", "what", event));
-            tasks.keySet().removeIf(number -> !scheduler.knows(number));
+            tasks.keySet().removeIf(number -> !scheduler.contains(number));
         }
     }
 
