--- a/src/main/java/slipfield/amqp/AmqpConfig.java
+++ b/src/main/java/slipfield/amqp/AmqpConfig.java
@@ -12,7 +12,7 @@
 import java.util.Optional;
 import java.util.Set;
 import slipfield.amqp.decide.Backpressure;
-import slipfield.amqp.decide.Routes;
+import slipfield.amqp.decide.RoutingTable;
 import slipfield.amqp.decide.Tuning;
 import slipfield.config.BadInput;
 import slipfield.settings.Section;
@@ -32,7 +32,7 @@
  * @param inbound queues of brokers elsewhere that are consumed
  */
 public record AmqpConfig(Optional<InetSocketAddress> listen, Optional<Tls> tls, Set<String> virtualHosts,
-        Map<String, User> users, Routes routes, Map<String, Queue> queues, Limits limits, boolean unconfirmed,
+        Map<String, User> users, RoutingTable routes, Map<String, Queue> queues, Limits limits, boolean unconfirmed,
         List<Outbound> outbound, List<Inbound> inbound) {
     private static final long LONGEST_MS = 24 * 3_600_000;
     /** Some 10 MB of heap when they are all there: what publishers at 2,000 a second publish again within 30 s. */
@@ -129,9 +129,9 @@
         if (!file.has("listen") && tls.isEmpty()) {
             throw file.wrong("listen", "is missing; write `listen: 127.0.0.1:5672`, or a part `tls`");
         }
-        Routes routes = new Routes();
+        RoutingTable routes = new RoutingTable();
         for (Section e : file.sections("exchanges")) {
-            routes.exchange(e.only("name", "routes").text("name"), routes(e, known));
+            routes.addExchange(e.only("name", "routes").text("name"), routes(e, known));
         }
         Map<String, Queue> queues = new LinkedHashMap<>();
         for (Section q : file.sections("queues")) {
@@ -171,12 +171,12 @@
         return all;
     }
 
-    private static List<Inbound> inbound(Section file, Known known, Routes routes) throws IOException, BadInput {
+    private static List<Inbound> inbound(Section file, Known known, RoutingTable routes) throws IOException, BadInput {
         List<Inbound> all = new ArrayList<>();
         for (Section i : file.sections("inbound")) {
             i.only("name", "address", "virtual_host", "user", "password_file", "tls", "queue", "exchange", "tenant",
                     "prefetch");
-            if (!routes.knows(i.text("exchange"))) {
+            if (!routes.hasExchange(i.text("exchange"))) {
                 throw i.wrong("exchange", "names no exchange of this file: '" + i.text("exchange") + "'; its routes say where "
                         + "what is taken goes: add it under `exchanges`");
             }
@@ -220,8 +220,8 @@
         return new Broker(name, b.address("address"), b.text("virtual_host", "/"), b.text("user", ""), password, tls);
     }
 
-    private static List<Routes.Route> routes(Section exchange, Known known) throws BadInput {
-        List<Routes.Route> routes = new ArrayList<>();
+    private static List<RoutingTable.Route> routes(Section exchange, Known known) throws BadInput {
+        List<RoutingTable.Route> routes = new ArrayList<>();
         for (Section r : exchange.sections("routes")) {
             r.only("key", "class", "destination", "destination_word");
             if (r.has("destination") == r.has("destination_word")) {
@@ -229,7 +229,7 @@
                         + "`destination_word: 2` where the key's second word is its number");
             }
             r.text("class");
-            routes.add(new Routes.Route(r.text("key"), among(r, "class", known.classes()),
+            routes.add(new RoutingTable.Route(r.text("key"), among(r, "class", known.classes()),
                     r.has("destination") ? destination(r) : 0, (int) r.whole("destination_word", 0, 1, 100)));
         }
         return routes;
@@ -245,7 +245,7 @@
         return names.isEmpty() ? s.text(key, "") : s.oneOf(key, otherwise, Set.copyOf(names));
     }
 
-    private static User user(Section u, Known known, Routes routes, Map<String, Queue> queues) throws BadInput {
+    private static User user(Section u, Known known, RoutingTable routes, Map<String, Queue> queues) throws BadInput {
         u.only("name", "secret", "tenant", "publish", "consume");
         Optional<Secret> secret = Optional.empty();
         if (u.has("secret")) {
@@ -259,7 +259,7 @@
             among(u, "tenant", known.tenants());
         }
         for (String exchange : u.texts("publish")) {
-            if (!routes.knows(exchange)) {
+            if (!routes.hasExchange(exchange)) {
                 throw u.wrong("publish", "names no exchange of this file: '" + exchange + "'; add it under `exchanges`");
             }
         }
--- a/src/main/java/slipfield/amqp/Contents.java
+++ b/src/main/java/slipfield/amqp/Contents.java
@@ -7,12 +7,12 @@
 import slipfield.amqp.codec.MethodId;
 import slipfield.amqp.codec.Properties;
 import slipfield.amqp.codec.ReplyCode;
-import slipfield.amqp.decide.Assembly;
+import slipfield.amqp.decide.ContentAssembler;
 
 /** A channel's contents, put together from their frames: method, header, body. */
 public final class Contents {
     private final long mostBody;
-    private final Assembly assembly;
+    private final ContentAssembler assembly;
     private Method method;
     private Properties properties;
     private byte[] body;
@@ -21,7 +21,7 @@
     /** {@code mostBody}: octets of a body at most. */
     public Contents(long mostBody) {
         this.mostBody = mostBody;
-        this.assembly = new Assembly(mostBody);
+        this.assembly = new ContentAssembler(mostBody);
     }
 
     /** A method came; an error if it cuts a content short. */
@@ -74,15 +74,15 @@
         return method == null ? MethodId.BASIC_PUBLISH : method.id();
     }
 
-    private boolean step(Assembly.Step step, MethodId of) throws AmqpError {
+    private boolean step(ContentAssembler.Step step, MethodId of) throws AmqpError {
         return switch (step) {
-            case UNEXPECTED -> throw new AmqpError(ReplyCode.UNEXPECTED_FRAME, assembly.awaits()
+            case UNEXPECTED -> throw new AmqpError(ReplyCode.UNEXPECTED_FRAME, assembly.expected()
                     .map(what -> what + " had to come").orElse("content without its method"), of);
             case OVERRUN -> throw new AmqpError(ReplyCode.FRAME_ERROR, "a body of more octets than its header told", of);
             case TOO_LARGE -> throw new AmqpError(ReplyCode.CONTENT_TOO_LARGE, "a body over " + mostBody
                     + " octets; the operator's file may allow more (body_octets)", of);
-            case MORE -> false;
-            case WHOLE -> true;
+            case INCOMPLETE -> false;
+            case COMPLETE -> true;
         };
     }
 }
--- a/src/main/java/slipfield/amqp/client/BrokerLink.java
+++ b/src/main/java/slipfield/amqp/client/BrokerLink.java
@@ -25,8 +25,8 @@
 import slipfield.amqp.codec.MethodId;
 import slipfield.amqp.codec.Properties;
 import slipfield.amqp.codec.ReplyCode;
-import slipfield.amqp.decide.Liveness;
-import slipfield.amqp.decide.Redial;
+import slipfield.amqp.decide.HeartbeatMonitor;
+import slipfield.amqp.decide.RedialBackoff;
 import slipfield.amqp.decide.Tuning;
 import slipfield.log.Log;
 import slipfield.socket.Connector;
@@ -74,7 +74,7 @@
     private final Tuning tuning;
     private final int mostBody;
     private final Listener listener;
-    private final Redial redial;
+    private final RedialBackoff redial;
     private final Optional<SslContext> tls;
     private Channel channel;
     private boolean open;
@@ -89,7 +89,7 @@
         this.tuning = tuning;
         this.mostBody = mostBody;
         this.listener = listener;
-        this.redial = new Redial(broker.name().hashCode(), FIRST_PAUSE_MS, LONGEST_PAUSE_MS);
+        this.redial = new RedialBackoff(broker.name().hashCode(), FIRST_PAUSE_MS, LONGEST_PAUSE_MS);
     }
 
     /** Connects, and again whenever it is down. */
@@ -122,7 +122,7 @@
     private void again(String why) {
         if (!ended) {
             Log.warn("amqp.broker_away", "broker", broker.name(), "cause", why);
-            loop.schedule(this::dial, (long) redial.down(nowMs()), TimeUnit.MILLISECONDS);
+            loop.schedule(this::dial, (long) redial.disconnected(nowMs()), TimeUnit.MILLISECONDS);
         }
     }
 
@@ -164,7 +164,7 @@
         private final FrameDecoder decoder;
         private final FrameEncoder encoder;
         private final Contents contents = new Contents(mostBody);
-        private Liveness liveness = new Liveness(0, 0);
+        private HeartbeatMonitor liveness = new HeartbeatMonitor(0, 0);
         private Future<?> beats;
         private Future<?> inTime;
         private String why = "closed by the broker";
@@ -187,7 +187,7 @@
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object frame) {
-            liveness.heard(nowMs());
+            liveness.received(nowMs());
             try {
                 if (frame instanceof AmqpError error) {
                     throw error;
@@ -236,10 +236,10 @@
                         Map.of("publisher_confirms", true, "basic.nack", true, "consumer_cancel_notify", true,
                                 "authentication_failure_close", true)), broker.mechanism(), broker.response(), "en_US");
                 case CONNECTION_TUNE -> {
-                    Tuning agreed = tuning.answer(m.number("channel-max"), m.number("frame-max"), m.number("heartbeat"));
+                    Tuning agreed = tuning.tuneOkFor(m.number("channel-max"), m.number("frame-max"), m.number("heartbeat"));
                     decoder.frameMax(agreed.frameMax());
                     encoder.frameMax(agreed.frameMax());
-                    liveness = new Liveness(agreed.heartbeatMs(), nowMs());
+                    liveness = new HeartbeatMonitor(agreed.heartbeatMs(), nowMs());
                     beats = loop.scheduleWithFixedDelay(this::beat, BEAT_MS, BEAT_MS, TimeUnit.MILLISECONDS);
                     connection(MethodId.CONNECTION_TUNE_OK, agreed.channelMax(), (long) agreed.frameMax(),
                             (int) (agreed.heartbeatMs() / 1000));
@@ -264,7 +264,7 @@
                     }
                     inTime.cancel(false);
                     open = true;
-                    redial.opened(nowMs());
+                    redial.connected(nowMs());
                     listener.opened();
                 }
                 case CHANNEL_CLOSE -> {
@@ -277,11 +277,11 @@
 
         private void beat() {
             switch (liveness.due(nowMs(), true)) {
-                case BEAT -> {
-                    liveness.said(nowMs());
+                case SEND_HEARTBEAT -> {
+                    liveness.sent(nowMs());
                     channel.writeAndFlush(new Frame.Heartbeat());
                 }
-                case GONE -> {
+                case PEER_LOST -> {
                     why = "two heartbeats missed";
                     channel.close();
                 }
--- a/src/main/java/slipfield/amqp/client/Target.java
+++ b/src/main/java/slipfield/amqp/client/Target.java
@@ -15,7 +15,7 @@
 import slipfield.amqp.codec.Method;
 import slipfield.amqp.codec.MethodId;
 import slipfield.amqp.codec.Properties;
-import slipfield.amqp.decide.Deliveries;
+import slipfield.amqp.decide.UnackedDeliveries;
 import slipfield.log.Log;
 
 /**
@@ -29,7 +29,7 @@
     private final AmqpConfig.Outbound config;
     private final Consuming consuming;
     private final BrokerLink link;
-    private Deliveries<Delivered> out;
+    private UnackedDeliveries<Delivered> out;
     /** What was returned and not yet confirmed, by message id; how, and the wait that was told. */
     private final Map<String, Returned> returned = new HashMap<>();
     private final Map<Long, String> ids = new HashMap<>();
@@ -74,7 +74,7 @@
 
     @Override
     public boolean room() {
-        return link.writable() && out != null && out.room(ONLY);
+        return link.writable() && out != null && out.canDeliver(ONLY);
     }
 
     @Override
@@ -97,8 +97,8 @@
         switch (m.id()) {
             case CONFIRM_SELECT_OK -> {
                 // Publish numbers begin anew with each channel.
-                out = new Deliveries<>(config.inFlight());
-                out.came(ONLY);
+                out = new UnackedDeliveries<>(config.inFlight());
+                out.addConsumer(ONLY);
                 Log.info("amqp.broker_open", "broker", config.broker().name());
                 consuming.came(this, false);
             }
@@ -123,17 +123,17 @@
     }
 
     private void confirmed(Method m, boolean ack) {
-        Optional<List<Deliveries.Out<Delivered>>> settled = out == null ? Optional.empty()
+        Optional<List<UnackedDeliveries.Delivery<Delivered>>> settled = out == null ? Optional.empty()
                 : out.settle(m.number("delivery-tag"), m.flag("multiple"));
         if (settled.isEmpty()) {
             link.fail("a confirm for nothing that is out");
             return;
         }
-        for (Deliveries.Out<Delivered> one : settled.get()) {
+        for (UnackedDeliveries.Delivery<Delivered> one : settled.get()) {
             // A broker that can't route a message returns it and confirms it all the same.
             Returned back = returned.remove(ids.remove(one.tag()));
             How how = back != null ? back.how : ack ? How.ACKED : How.REJECTED;
-            one.what().settled(how, back == null ? 0 : back.waitMs);
+            one.payload().settled(how, back == null ? 0 : back.waitMs);
         }
         consuming.room(this);
     }
@@ -146,12 +146,12 @@
     @Override
     public void lost() {
         if (out != null) {
-            Deliveries<Delivered> lost = out;
+            UnackedDeliveries<Delivered> lost = out;
             out = null;
             ids.clear();
             returned.clear();
             consuming.left(this);
-            lost.settle(0, true).orElseThrow().forEach(one -> one.what().settled(How.LOST, 0));
+            lost.settle(0, true).orElseThrow().forEach(one -> one.payload().settled(How.LOST, 0));
         }
     }
 }
--- a/src/main/java/slipfield/amqp/decide/Backpressure.java
+++ b/src/main/java/slipfield/amqp/decide/Backpressure.java
@@ -42,7 +42,7 @@
     }
 
     /** So much more (or, negative, less) of a connection is unsettled; whether it is to be read from now on. */
-    public boolean changed(int connection, int moreMessages, long moreOctets) {
+    public boolean addLoad(int connection, int moreMessages, long moreOctets) {
         Load was = loads.getOrDefault(connection, Load.NONE);
         Load is = new Load(was.messages + moreMessages, was.octets + moreOctets);
         messages += moreMessages;
@@ -52,11 +52,11 @@
         } else {
             loads.put(connection, is);
         }
-        return reads(connection);
+        return mayRead(connection);
     }
 
     /** Whether a connection is to be read now. */
-    public boolean reads(int connection) {
+    public boolean mayRead(int connection) {
         Load is = loads.getOrDefault(connection, Load.NONE);
         Load all = new Load(messages, octets);
         Load share = mostAll.part(Math.max(1, loads.size()));
@@ -77,7 +77,7 @@
      *
      * @return false if it is too much
      */
-    public boolean begins(int connection, long bodyOctets) {
+    public boolean tryStartBody(int connection, long bodyOctets) {
         long mine = begun.getOrDefault(connection, 0L) + bodyOctets;
         if (mine > mostEach.octets || begunOctets + bodyOctets > mostAll.octets) {
             return false;
@@ -88,16 +88,16 @@
     }
 
     /** A body that had begun is whole, or will never be. */
-    public void whole(int connection, long bodyOctets) {
+    public void bodyDone(int connection, long bodyOctets) {
         begunOctets -= bodyOctets;
         begun.computeIfPresent(connection, (c, mine) -> mine == bodyOctets ? null : mine - bodyOctets);
     }
 
     /** A connection is gone with all that it had. */
-    public void gone(int connection) {
-        whole(connection, begun.getOrDefault(connection, 0L));
+    public void connectionClosed(int connection) {
+        bodyDone(connection, begun.getOrDefault(connection, 0L));
         Load was = loads.getOrDefault(connection, Load.NONE);
-        changed(connection, -was.messages, -was.octets);
+        addLoad(connection, -was.messages, -was.octets);
         paused.remove(connection);
     }
 
--- a/src/main/java/slipfield/amqp/decide/Assembly.java
+++ b/src/main/java/slipfield/amqp/decide/ContentAssembler.java
@@ -6,7 +6,7 @@
  * A channel's contents from their frames, in the order that specification 0-9-1, 4.2.6 has: method, header, body frames up
  * to the size that the header told. It counts; the octets are kept by whoever asks.
  */
-public final class Assembly {
+public final class ContentAssembler {
     private enum State {
         METHOD, HEADER, BODY
     }
@@ -18,9 +18,9 @@
     /** What became of a frame. */
     public enum Step {
         /** More must come. */
-        MORE,
+        INCOMPLETE,
         /** The content is whole. */
-        WHOLE,
+        COMPLETE,
         /** The body is longer than it may be: soft error 311. */
         TOO_LARGE,
         /** Not the frame that had to come: hard error 505. */
@@ -30,7 +30,7 @@
     }
 
     /** {@code mostBody}: octets of a body at most. */
-    public Assembly(long mostBody) {
+    public ContentAssembler(long mostBody) {
         this.mostBody = mostBody;
     }
 
@@ -40,7 +40,7 @@
             return Step.UNEXPECTED;
         }
         state = content ? State.HEADER : State.METHOD;
-        return content ? Step.MORE : Step.WHOLE;
+        return content ? Step.INCOMPLETE : Step.COMPLETE;
     }
 
     /** A content header came. */
@@ -53,7 +53,7 @@
         }
         missing = bodySize;
         state = bodySize == 0 ? State.METHOD : State.BODY;
-        return bodySize == 0 ? Step.WHOLE : Step.MORE;
+        return bodySize == 0 ? Step.COMPLETE : Step.INCOMPLETE;
     }
 
     /** A body frame came with so many octets. */
@@ -66,14 +66,14 @@
         }
         missing -= octets;
         if (missing > 0) {
-            return Step.MORE;
+            return Step.INCOMPLETE;
         }
         state = State.METHOD;
-        return Step.WHOLE;
+        return Step.COMPLETE;
     }
 
     /** What is awaited, for an error's text. */
-    public Optional<String> awaits() {
+    public Optional<String> expected() {
         return switch (state) {
             case METHOD -> Optional.empty();
             case HEADER -> Optional.of("a content header");
--- a/src/main/java/slipfield/amqp/decide/LoginGuard.java
+++ b/src/main/java/slipfield/amqp/decide/LoginThrottle.java
@@ -9,7 +9,7 @@
  * and few wait; a wrong one is answered late, later with each further one of the same name, up to a bound. A right one is
  * answered at once, whoever else fails under that name: else anyone could lock a user out.
  */
-public final class LoginGuard {
+public final class LoginThrottle {
     private static final double FIRST_DELAY_MS = 250;
     private static final double LONGEST_DELAY_MS = 8000;
     private static final double FORGOTTEN_MS = 60_000;
@@ -39,27 +39,27 @@
         /** It waits until another check has ended. */
         WAIT,
         /** Too many wait, all told or of this name: it is turned away unchecked. */
-        TURN_AWAY
+        REJECT
     }
 
     /**
      * @param atOnce secrets that are checked at one time
      * @param mostWaiting tries that wait for that; of one name a quarter of them at most
      */
-    public LoginGuard(int atOnce, int mostWaiting) {
+    public LoginThrottle(int atOnce, int mostWaiting) {
         this.atOnce = atOnce;
         this.mostWaiting = mostWaiting;
     }
 
     /** Somebody wants to log in under this name. */
-    public Verdict tries(String name) {
+    public Verdict admit(String name) {
         if (checking < atOnce) {
             checking++;
             return Verdict.CHECK;
         }
         int ofName = waitingOf.getOrDefault(name, 0);
         if (waiting >= mostWaiting || ofName >= Math.max(1, mostWaiting / 4)) {
-            return Verdict.TURN_AWAY;
+            return Verdict.REJECT;
         }
         waiting++;
         waitingOf.put(name, ofName + 1);
@@ -67,25 +67,25 @@
     }
 
     /** One that waited goes on to its check. */
-    public void waited(String name) {
+    public void startQueued(String name) {
         waiting--;
         waitingOf.merge(name, -1, (a, b) -> a + b == 0 ? null : a + b);
         checking++;
     }
 
     /** A check has ended; whether one that waits may go on. */
-    public boolean checked() {
+    public boolean checkFinished() {
         checking--;
         return checking < atOnce && waiting > 0;
     }
 
     /** The answer to a wrong secret is out. */
-    public void answered() {
+    public void failureAnswered() {
         heldBack--;
     }
 
-    /** The secret was wrong: how long its answer is to be held back, in milliseconds, until {@link #answered}. */
-    public double wrong(String name, double now) {
+    /** The secret was wrong: how long its answer is to be held back, in milliseconds, until {@link #failureAnswered}. */
+    public double recordFailure(String name, double now) {
         Wrong before = wrong.remove(name);
         int many = before == null || now - before.lastMs > FORGOTTEN_MS ? 1 : before.many + 1;
         wrong.put(name, new Wrong(many, now));
--- a/src/main/java/slipfield/amqp/decide/Confirms.java
+++ b/src/main/java/slipfield/amqp/decide/PublisherConfirms.java
@@ -10,7 +10,7 @@
  * that stands for all below it. {@code multiple} is said only where every number up to there has the same end and none
  * below it is open: so a publisher that reads it as the specification has it never takes an open one for confirmed.
  */
-public final class Confirms {
+public final class PublisherConfirms {
     /** A confirm to send: {@code basic.ack}, or {@code basic.nack}. */
     public record Confirm(long tag, boolean multiple, boolean ack) {
     }
@@ -22,7 +22,7 @@
     private int open;
 
     /** A publish came; its number, from 1. */
-    public long published() {
+    public long assignTag() {
         last++;
         open++;
         untold.put(last, null);
@@ -30,13 +30,13 @@
     }
 
     /** Whether this number has no end yet. */
-    public boolean isOpen(long tag) {
+    public boolean isPending(long tag) {
         return untold.containsKey(tag) && untold.get(tag) == null;
     }
 
     /** A number has its final answer; a second one for it is ignored, and told by {@code false}. */
-    public boolean end(long tag, boolean ack) {
-        if (!isOpen(tag)) {
+    public boolean settle(long tag, boolean ack) {
+        if (!isPending(tag)) {
             return false;
         }
         untold.put(tag, ack);
@@ -46,12 +46,12 @@
     }
 
     /** Numbers without an end. */
-    public int open() {
+    public int pending() {
         return open;
     }
 
     /** What is to be told now, in its order. Those of it count as told. */
-    public List<Confirm> due() {
+    public List<Confirm> takeDue() {
         if (ended.isEmpty()) {
             return List.of();
         }
--- a/src/main/java/slipfield/amqp/decide/Routes.java
+++ b/src/main/java/slipfield/amqp/decide/RoutingTable.java
@@ -10,7 +10,7 @@
  * Where a publish goes, by its exchange and routing key: the first pattern that fits. Patterns are those of a topic
  * exchange (specification 0-9-1, 3.1.3.3): words with dots between, {@code *} for one word, {@code #} for any number.
  */
-public final class Routes {
+public final class RoutingTable {
     /** Where it goes. */
     public record Target(String messageClass, long destination) {
     }
@@ -18,10 +18,10 @@
     /**
      * A line of the operator's file.
      *
-     * @param destination used where {@code word} is 0
-     * @param word which word of the key, from 1, is the destination's number; 0: none
+     * @param destination used where {@code destinationWord} is 0
+     * @param destinationWord which word of the key, from 1, is the destination's number; 0: none
      */
-    public record Route(String pattern, String messageClass, long destination, int word) {
+    public record Route(String pattern, String messageClass, long destination, int destinationWord) {
     }
 
     private record Compiled(String[] pattern, Route route) {
@@ -30,7 +30,7 @@
     private final Map<String, List<Compiled>> exchanges = new HashMap<>();
 
     /** Adds an exchange with its routes, in the order in which they are tried. */
-    public Routes exchange(String name, List<Route> routes) {
+    public RoutingTable addExchange(String name, List<Route> routes) {
         List<Compiled> compiled = new ArrayList<>();
         routes.forEach(r -> compiled.add(new Compiled(words(r.pattern()), r)));
         exchanges.put(name, compiled);
@@ -38,34 +38,34 @@
     }
 
     /** Whether there is an exchange of this name. */
-    public boolean knows(String exchange) {
+    public boolean hasExchange(String exchange) {
         return exchanges.containsKey(exchange);
     }
 
     /** Whether the file binds something there by exactly this pattern. */
-    public boolean binds(String exchange, String pattern) {
+    public boolean hasBinding(String exchange, String pattern) {
         return exchanges.getOrDefault(exchange, List.of()).stream().anyMatch(c -> c.route.pattern().equals(pattern));
     }
 
     /** Where a key goes; nowhere if none fits, or if the word for the destination is no number. */
-    public Optional<Target> target(String exchange, String key) {
+    public Optional<Target> resolve(String exchange, String key) {
         String[] words = words(key);
         for (Compiled c : exchanges.getOrDefault(exchange, List.of())) {
             if (fits(c.pattern, words)) {
-                return target(c.route, words);
+                return resolve(c.route, words);
             }
         }
         return Optional.empty();
     }
 
-    private static Optional<Target> target(Route route, String[] words) {
-        if (route.word() == 0) {
+    private static Optional<Target> resolve(Route route, String[] words) {
+        if (route.destinationWord() == 0) {
             return Optional.of(new Target(route.messageClass(), route.destination()));
         }
-        if (route.word() > words.length || !words[route.word() - 1].matches("[0-9]{1,18}")) {
+        if (route.destinationWord() > words.length || !words[route.destinationWord() - 1].matches("[0-9]{1,18}")) {
             return Optional.empty();
         }
-        return Optional.of(new Target(route.messageClass(), Long.parseLong(words[route.word() - 1])));
+        return Optional.of(new Target(route.messageClass(), Long.parseLong(words[route.destinationWord() - 1])));
     }
 
     private static String[] words(String key) {
--- a/src/main/java/slipfield/amqp/decide/Tuning.java
+++ b/src/main/java/slipfield/amqp/decide/Tuning.java
@@ -19,7 +19,7 @@
      *
      * @return absent if it asks for what it may not
      */
-    public Optional<Tuning> chosen(long channels, long frame, long heartbeatSeconds) {
+    public Optional<Tuning> acceptTuneOk(long channels, long frame, long heartbeatSeconds) {
         int most = channelMax == 0 ? MOST_CHANNELS : channelMax;
         if (channels > most || frame > frameMax || frame != 0 && frame < LEAST_FRAME) {
             return Optional.empty();
@@ -29,7 +29,7 @@
     }
 
     /** What a client answers to a server's offer, where this is what it would like. */
-    public Tuning answer(long channels, long frame, long heartbeatSeconds) {
+    public Tuning tuneOkFor(long channels, long frame, long heartbeatSeconds) {
         return new Tuning(least(channelMax, channels), least(frameMax, frame),
                 1000 * least((int) (heartbeatMs / 1000), heartbeatSeconds));
     }
--- a/src/main/java/slipfield/amqp/decide/Deliveries.java
+++ b/src/main/java/slipfield/amqp/decide/UnackedDeliveries.java
@@ -15,9 +15,9 @@
  *
  * @param <T> what a delivery is to whoever made it
  */
-public final class Deliveries<T> {
+public final class UnackedDeliveries<T> {
     /** A delivery that was settled, or can be no more. */
-    public record Out<T>(long tag, String consumer, T what, double sinceMs) {
+    public record Delivery<T>(long tag, String consumer, T payload, double sentMs) {
     }
 
     private static final class Consumer {
@@ -30,7 +30,7 @@
     }
 
     private final int mostEach;
-    private final NavigableMap<Long, Out<T>> out = new TreeMap<>();
+    private final NavigableMap<Long, Delivery<T>> out = new TreeMap<>();
     private final Map<String, Consumer> consumers = new HashMap<>();
     private int prefetch;
     private int shared;
@@ -38,7 +38,7 @@
     private long last;
 
     /** {@code mostEach}: of one consumer, where it sets no count of its own, or a higher one. */
-    public Deliveries(int mostEach) {
+    public UnackedDeliveries(int mostEach) {
         this.mostEach = mostEach;
         this.prefetch = mostEach;
         this.shared = Integer.MAX_VALUE;
@@ -59,12 +59,12 @@
     }
 
     /** A consumer came; false: there is one of this tag. */
-    public boolean came(String consumer) {
+    public boolean addConsumer(String consumer) {
         return consumers.putIfAbsent(consumer, new Consumer(prefetch)) == null;
     }
 
     /** A consumer was cancelled; what it has out can still be settled. */
-    public boolean left(String consumer) {
+    public boolean removeConsumer(String consumer) {
         return consumers.remove(consumer) != null;
     }
 
@@ -74,24 +74,24 @@
     }
 
     /** How many deliveries a consumer may have out at once: its slots. */
-    public int slots(String consumer) {
+    public int prefetchLimit(String consumer) {
         Consumer of = consumers.get(consumer);
         return of == null ? 0 : Math.min(of.most, shared);
     }
 
     /** Whether a consumer may have one more. */
-    public boolean room(String consumer) {
+    public boolean canDeliver(String consumer) {
         Consumer of = consumers.get(consumer);
         return flowing && of != null && of.out < of.most && out.size() < shared;
     }
 
     /** One goes out to a consumer that has room; its tag, from 1. */
     public long deliver(String consumer, T what, double now) {
-        if (!room(consumer)) {
+        if (!canDeliver(consumer)) {
             throw new IllegalStateException("no room at " + consumer);
         }
         consumers.get(consumer).out++;
-        out.put(++last, new Out<>(last, consumer, what, now));
+        out.put(++last, new Delivery<>(last, consumer, what, now));
         return last;
     }
 
@@ -100,13 +100,13 @@
      *
      * @return absent if it names none that is out: the specification's error 406
      */
-    public Optional<List<Out<T>>> settle(long tag, boolean multiple) {
-        NavigableMap<Long, Out<T>> settled = !multiple ? out.subMap(tag, true, tag, true)
+    public Optional<List<Delivery<T>>> settle(long tag, boolean multiple) {
+        NavigableMap<Long, Delivery<T>> settled = !multiple ? out.subMap(tag, true, tag, true)
                 : tag == 0 ? out : out.headMap(tag, true);
         if (settled.isEmpty() && !(multiple && tag == 0) || tag > last) {
             return Optional.empty();
         }
-        List<Out<T>> all = new ArrayList<>(settled.values());
+        List<Delivery<T>> all = new ArrayList<>(settled.values());
         settled.clear();
         all.forEach(one -> {
             Consumer of = consumers.get(one.consumer);
@@ -118,12 +118,12 @@
     }
 
     /** Since when the oldest is out; absent: none is. */
-    public Optional<Double> oldestMs() {
-        return out.isEmpty() ? Optional.empty() : Optional.of(out.firstEntry().getValue().sinceMs);
+    public Optional<Double> oldestSentMs() {
+        return out.isEmpty() ? Optional.empty() : Optional.of(out.firstEntry().getValue().sentMs);
     }
 
     /** How many are out. */
-    public int out() {
+    public int count() {
         return out.size();
     }
 }
--- a/src/main/java/slipfield/amqp/server/AmqpServer.java
+++ b/src/main/java/slipfield/amqp/server/AmqpServer.java
@@ -176,7 +176,7 @@
     void gone(ServerConnection connection) {
         connections.remove(connection.id());
         pending.remove(connection);
-        pressure.gone(connection.id());
+        pressure.connectionClosed(connection.id());
     }
 
     /** A connection has frames that were not looked at yet. */
--- a/src/main/java/slipfield/amqp/server/Logins.java
+++ b/src/main/java/slipfield/amqp/server/Logins.java
@@ -19,7 +19,7 @@
 import javax.crypto.spec.SecretKeySpec;
 import slipfield.amqp.AmqpConfig;
 import slipfield.amqp.Secret;
-import slipfield.amqp.decide.LoginGuard;
+import slipfield.amqp.decide.LoginThrottle;
 import slipfield.log.Log;
 
 /**
@@ -45,7 +45,7 @@
     private final EventLoop loop;
     private final Map<String, AmqpConfig.User> users;
     private final Executor checks;
-    private final LoginGuard guard = new LoginGuard(CHECKS_AT_ONCE, CHECKS_WAITING);
+    private final LoginThrottle guard = new LoginThrottle(CHECKS_AT_ONCE, CHECKS_WAITING);
     private final Mac mac;
     /** By name, the MAC of the secret that was right. */
     private final Map<String, byte[]> proven = new HashMap<>();
@@ -87,7 +87,7 @@
             return;
         }
         Try fresh = new Try(user, login, new ArrayList<>(List.of(then)));
-        switch (guard.tries(login.name())) {
+        switch (guard.admit(login.name())) {
             case CHECK -> {
                 tries.put(key, fresh);
                 check(key, fresh, code);
@@ -95,11 +95,11 @@
             case WAIT -> {
                 tries.put(key, fresh);
                 waiting.add(() -> {
-                    guard.waited(login.name());
+                    guard.startQueued(login.name());
                     check(key, fresh, code);
                 });
             }
-            case TURN_AWAY -> then.accept(Answer.TURNED_AWAY);
+            case REJECT -> then.accept(Answer.TURNED_AWAY);
             default -> throw new IllegalStateException();
         }
     }
@@ -121,7 +121,7 @@
 
     private void checked(String key, Try one, byte[] code, boolean right) {
         tries.remove(key);
-        if (guard.checked()) {
+        if (guard.checkFinished()) {
             waiting.pollFirst().run();
         }
         String name = one.login.name();
@@ -132,8 +132,8 @@
         }
         Log.warn("amqp.login_refused", "user", name);
         one.waiting.forEach(then -> loop.schedule(() -> {
-            guard.answered();
+            guard.failureAnswered();
             then.accept(Answer.WRONG);
-        }, (long) guard.wrong(name, System.nanoTime() / 1e6), TimeUnit.MILLISECONDS));
+        }, (long) guard.recordFailure(name, System.nanoTime() / 1e6), TimeUnit.MILLISECONDS));
     }
 }
--- a/src/main/java/slipfield/amqp/server/ServerChannel.java
+++ b/src/main/java/slipfield/amqp/server/ServerChannel.java
@@ -21,16 +21,16 @@
 import slipfield.amqp.codec.MethodId;
 import slipfield.amqp.codec.Properties;
 import slipfield.amqp.codec.ReplyCode;
-import slipfield.amqp.decide.Confirms;
-import slipfield.amqp.decide.Deliveries;
+import slipfield.amqp.decide.PublisherConfirms;
+import slipfield.amqp.decide.UnackedDeliveries;
 
 /** A channel: what is published on it and confirmed, and what its consumers have out. */
 final class ServerChannel implements Publisher {
     private final ServerConnection connection;
     private final int number;
-    private final Deliveries<Receiver.Delivered> deliveries;
+    private final UnackedDeliveries<Receiver.Delivered> deliveries;
     private final Map<String, Subscription> subscriptions = new HashMap<>();
-    private final Confirms confirms = new Confirms();
+    private final PublisherConfirms confirms = new PublisherConfirms();
     private final Contents contents;
     private final AmqpConfig config;
     /** Published and without an end, outside confirm mode too. */
@@ -46,7 +46,7 @@
         this.connection = connection;
         this.number = number;
         this.config = connection.server().config();
-        this.deliveries = new Deliveries<>(config.limits().prefetch());
+        this.deliveries = new UnackedDeliveries<>(config.limits().prefetch());
         this.contents = new Contents(config.limits().bodyOctets());
     }
 
@@ -58,7 +58,7 @@
         return connection.user();
     }
 
-    Deliveries<Receiver.Delivered> deliveries() {
+    UnackedDeliveries<Receiver.Delivered> deliveries() {
         return deliveries;
     }
 
@@ -89,7 +89,7 @@
             method(m.method());
         } else if (frame instanceof Frame.OfHeader h) {
             boolean whole = contents.header(h);
-            if (!connection.server().pressure().begins(connection.id(), h.bodySize())) {
+            if (!connection.server().pressure().tryStartBody(connection.id(), h.bodySize())) {
                 throw new AmqpError(ReplyCode.RESOURCE_ERROR, "too many bodies are begun at once; send each whole",
                         MethodId.BASIC_PUBLISH);
             }
@@ -115,7 +115,7 @@
             return;
         }
         bodyEnded();
-        Publication publication = new Publication(confirming ? confirms.published() : 0, user(),
+        Publication publication = new Publication(confirming ? confirms.assignTag() : 0, user(),
                 publish.text("exchange"), publish.text("routing-key"), contents.properties(), contents.take());
         open.add(publication);
         load(1, publication);
@@ -123,12 +123,12 @@
     }
 
     private void bodyEnded() {
-        connection.server().pressure().whole(connection.id(), begunOctets);
+        connection.server().pressure().bodyDone(connection.id(), begunOctets);
         begunOctets = 0;
     }
 
     private void load(int sign, Publication publication) {
-        connection.server().pressure().changed(connection.id(), sign, sign * (long) publication.body().length);
+        connection.server().pressure().addLoad(connection.id(), sign, sign * (long) publication.body().length);
         connection.updateReading();
         if (sign < 0) {
             connection.server().relieved();
@@ -203,7 +203,7 @@
 
     private void declare(Method m) throws AmqpError {
         String exchange = m.text("exchange");
-        if (!config.routes().knows(exchange)) {
+        if (!config.routes().hasExchange(exchange)) {
             throw new AmqpError(ReplyCode.NOT_FOUND, "no exchange '" + exchange + "' in the operator's file", m.id());
         }
         if (!m.flag("passive") && !m.text("type").equals("topic")) {
@@ -227,7 +227,7 @@
 
     private void bind(Method m) throws AmqpError {
         readable(m.text("queue"), m.id());
-        if (!config.routes().binds(m.text("exchange"), m.text("routing-key"))) {
+        if (!config.routes().hasBinding(m.text("exchange"), m.text("routing-key"))) {
             throw new AmqpError(ReplyCode.ACCESS_REFUSED, "no such binding in the operator's file; add it there", m.id());
         }
         if (!m.flag("no-wait")) {
@@ -253,7 +253,7 @@
             throw new AmqpError(ReplyCode.PRECONDITION_FAILED, "a final answer is owed for each message; send "
                     + "confirm.select first", m.id());
         }
-        if (!config.routes().knows(exchange)) {
+        if (!config.routes().hasExchange(exchange)) {
             throw new AmqpError(ReplyCode.NOT_FOUND, "no exchange '" + exchange + "' in the operator's file", m.id());
         }
         if (!user().publish().contains(exchange)) {
@@ -281,7 +281,7 @@
             throw new AmqpError(ReplyCode.ACCESS_REFUSED, "queue '" + queue.name() + "' has an exclusive consumer, or one "
                     + "of this name; use another consumer tag", m.id());
         }
-        deliveries.came(tag);
+        deliveries.addConsumer(tag);
         subscriptions.put(tag, subscription);
         if (!m.flag("no-wait")) {
             answer(MethodId.BASIC_CONSUME_OK, tag);
@@ -292,18 +292,19 @@
     private void cancel(String tag) {
         Subscription left = subscriptions.remove(tag);
         if (left != null) {
-            deliveries.left(tag);
+            deliveries.removeConsumer(tag);
             connection.server().consuming().left(left);
         }
     }
 
     private void settled(Method m, boolean multiple, Receiver.How how) throws AmqpError {
-        Optional<List<Deliveries.Out<Receiver.Delivered>>> settled = deliveries.settle(m.number("delivery-tag"), multiple);
+        Optional<List<UnackedDeliveries.Delivery<Receiver.Delivered>>> settled =
+                deliveries.settle(m.number("delivery-tag"), multiple);
         if (settled.isEmpty()) {
             throw new AmqpError(ReplyCode.PRECONDITION_FAILED, "no delivery " + m.number("delivery-tag")
                     + " is out on this channel; settle each once", m.id());
         }
-        settled.get().forEach(one -> one.what().settled(how, 0));
+        settled.get().forEach(one -> one.payload().settled(how, 0));
         room();
     }
 
@@ -331,7 +332,7 @@
     public void end(Publication publication, boolean ack) {
         if (open.remove(publication)) {
             if (publication.tag() > 0) {
-                confirms.end(publication.tag(), ack);
+                confirms.settle(publication.tag(), ack);
             }
             load(-1, publication);
         }
@@ -339,7 +340,7 @@
 
     @Override
     public void flush() {
-        for (Confirms.Confirm due : confirms.due()) {
+        for (PublisherConfirms.Confirm due : confirms.takeDue()) {
             if (due.ack()) {
                 answer(MethodId.BASIC_ACK, due.tag(), due.multiple());
             } else {
@@ -356,7 +357,7 @@
     // ---- the end ----
 
     void sweep(double now) {
-        Optional<Double> oldest = deliveries.oldestMs();
+        Optional<Double> oldest = deliveries.oldestSentMs();
         if (!closing && oldest.isPresent() && now - oldest.get() > config.limits().ackMs()) {
             fail(new AmqpError(ReplyCode.PRECONDITION_FAILED, "a delivery is out for over " + config.limits().ackMs()
                     + " ms; settle each in time, or ask the operator for more (ack_within)"));
@@ -380,9 +381,9 @@
         bodyEnded();
         List.copyOf(subscriptions.keySet()).forEach(this::cancel);
         // After its consumers: what is decided next must not go to one of them.
-        new ArrayList<>(deliveries.settle(0, true).orElseThrow()).forEach(one -> one.what().settled(Receiver.How.LOST, 0));
+        new ArrayList<>(deliveries.settle(0, true).orElseThrow()).forEach(one -> one.payload().settled(Receiver.How.LOST, 0));
         for (Publication publication : open) {
-            connection.server().pressure().changed(connection.id(), -1, -publication.body().length);
+            connection.server().pressure().addLoad(connection.id(), -1, -publication.body().length);
         }
         open.clear();
         connection.server().publishing().left(this);
--- a/src/main/java/slipfield/amqp/server/ServerConnection.java
+++ b/src/main/java/slipfield/amqp/server/ServerConnection.java
@@ -24,7 +24,7 @@
 import slipfield.amqp.codec.Method;
 import slipfield.amqp.codec.MethodId;
 import slipfield.amqp.codec.ReplyCode;
-import slipfield.amqp.decide.Liveness;
+import slipfield.amqp.decide.HeartbeatMonitor;
 import slipfield.amqp.decide.Tuning;
 import slipfield.config.Config;
 import slipfield.log.Log;
@@ -53,7 +53,7 @@
     private ChannelHandlerContext ctx;
     private AmqpConfig.User user;
     private Tuning tuning;
-    private Liveness liveness;
+    private HeartbeatMonitor liveness;
     private boolean blockable;
     private boolean blocked;
     /** Since when it takes nothing more; 0: it does. */
@@ -100,7 +100,7 @@
     @Override
     public void channelRead(ChannelHandlerContext context, Object frame) {
         if (liveness != null) {
-            liveness.heard(server.nowMs());
+            liveness.received(server.nowMs());
         }
         if (state == State.GONE) {
             ReferenceCountUtil.release(body(frame));
@@ -255,7 +255,7 @@
     }
 
     private void tuned(Method tuneOk) throws AmqpError {
-        Optional<Tuning> chosen = server.config().limits().tuning().chosen(tuneOk.number("channel-max"),
+        Optional<Tuning> chosen = server.config().limits().tuning().acceptTuneOk(tuneOk.number("channel-max"),
                 tuneOk.number("frame-max"), tuneOk.number("heartbeat"));
         if (chosen.isEmpty()) {
             throw new AmqpError(ReplyCode.NOT_ALLOWED, "tune-ok asks for more than was offered", MethodId.CONNECTION_TUNE_OK);
@@ -263,7 +263,7 @@
         tuning = chosen.get();
         decoder.frameMax(tuning.frameMax());
         encoder.frameMax(tuning.frameMax());
-        liveness = new Liveness(tuning.heartbeatMs(), server.nowMs());
+        liveness = new HeartbeatMonitor(tuning.heartbeatMs(), server.nowMs());
         state = State.OPEN;
     }
 
@@ -271,7 +271,7 @@
 
     ChannelFuture write(Frame frame) {
         if (liveness != null) {
-            liveness.said(server.nowMs());
+            liveness.sent(server.nowMs());
         }
         return channel.writeAndFlush(frame);
     }
@@ -324,7 +324,7 @@
 
     /** Reads no further while something of it waits, while it has too much unsettled, or reads nothing itself. */
     void updateReading() {
-        boolean block = !server.pressure().reads(id);
+        boolean block = !server.pressure().mayRead(id);
         channel.config().setAutoRead(inbox.isEmpty() && !block && channel.isWritable() || state == State.CLOSING);
         if (blockable && state == State.IN_SERVICE && block != blocked) {
             blocked = block;
@@ -357,8 +357,8 @@
         }
         if (liveness != null && state == State.IN_SERVICE) {
             switch (liveness.due(now, channel.config().isAutoRead())) {
-                case BEAT -> write(new Frame.Heartbeat());
-                case GONE -> {
+                case SEND_HEARTBEAT -> write(new Frame.Heartbeat());
+                case PEER_LOST -> {
                     Log.warn("amqp.connection_cut", "peer", peer(), "cause", "two heartbeats missed");
                     channel.close();
                 }
@@ -375,7 +375,7 @@
 
     /** While the sender ends: {@code published}: publishers still wait for answers, here or elsewhere. */
     void closeIdle(boolean published, double closingForMs) {
-        int out = channels.values().stream().mapToInt(c -> c.deliveries().out()).sum();
+        int out = channels.values().stream().mapToInt(c -> c.deliveries().count()).sum();
         double now = server.nowMs();
         if (out > 0) {
             lastOutMs = now;
@@ -416,9 +416,9 @@
     ConnectionReport report() {
         List<ConnectionReport.ChannelReport> each = channels.entrySet().stream().map(c -> new ConnectionReport.ChannelReport(
                 c.getKey(), c.getValue().open(), c.getValue().deliveries().consumers().size(),
-                c.getValue().deliveries().out())).toList();
+                c.getValue().deliveries().count())).toList();
         return new ConnectionReport(peer(), user == null ? "" : user.name(), state.name().toLowerCase(Locale.ROOT),
-                !server.pressure().reads(id), !channel.isWritable(), each);
+                !server.pressure().mayRead(id), !channel.isWritable(), each);
     }
 
 }
--- a/src/main/java/slipfield/amqp/server/Subscription.java
+++ b/src/main/java/slipfield/amqp/server/Subscription.java
@@ -8,7 +8,7 @@
 import slipfield.amqp.codec.Method;
 import slipfield.amqp.codec.MethodId;
 import slipfield.amqp.codec.Properties;
-import slipfield.amqp.decide.Consumers;
+import slipfield.amqp.decide.ConsumerRegistry;
 
 /** A consumer of a queue. */
 final class Subscription implements Receiver {
@@ -31,7 +31,7 @@
 
     @Override
     public String name() {
-        return Consumers.name(queue.name(), channel.user().name(), tag);
+        return ConsumerRegistry.endpointName(queue.name(), channel.user().name(), tag);
     }
 
     /** Its {@code x-priority}. */
@@ -42,12 +42,12 @@
 
     @Override
     public int slots() {
-        return channel.deliveries().slots(tag);
+        return channel.deliveries().prefetchLimit(tag);
     }
 
     @Override
     public boolean room() {
-        return channel.writable() && channel.deliveries().room(tag);
+        return channel.writable() && channel.deliveries().canDeliver(tag);
     }
 
     @Override
--- a/src/main/java/slipfield/client/Answers.java
+++ b/src/main/java/slipfield/client/Answers.java
@@ -6,7 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Date;
 import java.util.Locale;
-import slipfield.client.decide.Heard;
+import slipfield.client.decide.SubmissionReply;
 
 /** What a sender's answer to a hand-in proves (PROTOCOL, "Clients to senders"). */
 final class Answers {
@@ -21,18 +21,18 @@
     private Answers() {
     }
 
-    static Heard heard(FullHttpResponse answer, long wallMs) {
+    static SubmissionReply heard(FullHttpResponse answer, long wallMs) {
         int status = answer.status().code();
         String reason = answer.content().toString(StandardCharsets.UTF_8).lines().findFirst().orElse("");
         String why = status + (reason.isBlank() ? "" : " " + reason.substring(0, Math.min(LONGEST_REASON, reason.length())));
         return switch (status) {
-            case 200, 202 -> Heard.taken();
-            case 429, 503 -> Heard.refused(waitMs(answer.headers().get(HttpHeaderNames.RETRY_AFTER), wallMs),
+            case 200, 202 -> SubmissionReply.accepted();
+            case 429, 503 -> SubmissionReply.refused(waitMs(answer.headers().get(HttpHeaderNames.RETRY_AFTER), wallMs),
                     scope(answer.headers().get(SCOPE, "")), why);
             // Not whole in time: it was not read, and may come again.
-            case 408 -> Heard.unsent(why);
-            case 400, 404, 405, 413, 431 -> Heard.rejected(why);
-            default -> Heard.lost(why);
+            case 408 -> SubmissionReply.unsent(why);
+            case 400, 404, 405, 413, 431 -> SubmissionReply.rejected(why);
+            default -> SubmissionReply.lost(why);
         };
     }
 
@@ -55,11 +55,11 @@
     }
 
     /** An unnamed one is the sender's: it is asked for nothing more, and others may be. */
-    private static Heard.Scope scope(String name) {
+    private static SubmissionReply.Scope scope(String name) {
         return switch (name.toLowerCase(Locale.ROOT)) {
-            case "destination" -> Heard.Scope.DESTINATION;
-            case "tenant" -> Heard.Scope.TENANT;
-            default -> Heard.Scope.SENDER;
+            case "destination" -> SubmissionReply.Scope.DESTINATION;
+            case "tenant" -> SubmissionReply.Scope.TENANT;
+            default -> SubmissionReply.Scope.SENDER;
         };
     }
 
--- a/src/main/java/slipfield/client/Client.java
+++ b/src/main/java/slipfield/client/Client.java
@@ -32,9 +32,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.LongSupplier;
-import slipfield.client.decide.Courier;
 import slipfield.client.decide.End;
-import slipfield.client.decide.Heard;
+import slipfield.client.decide.OrderTracker;
+import slipfield.client.decide.SubmissionReply;
 
 /**
  * Hands orders in at senders. Each submitted order has one end, told once, within its time (and where ends are followed the
@@ -55,7 +55,7 @@
     private final LongSupplier nanoClock;
     private final long startNanos;
     private final AtomicBoolean closing = new AtomicBoolean();
-    private final Courier courier;
+    private final OrderTracker tracker;
     private final Map<String, Submission> byKey = new ConcurrentHashMap<>();
     private final Follower follower;
     /** What follows is the loop's alone. */
@@ -125,7 +125,7 @@
                         // A link adds its handlers once it stands.
                     }
                 });
-        this.courier = new Courier(settings.rules(), new SplittableRandom(settings.seed()), 0, new Doing());
+        this.tracker = new OrderTracker(settings.rules(), new SplittableRandom(settings.seed()), 0, new Doing());
         this.follower = settings.rules().follows() ? new Follower(settings.name(), loop, this::connectTo, this::told) : null;
         loop.scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
         settings.senders().start(list -> loop.execute(() -> listed(list)));
@@ -150,7 +150,7 @@
                 long number = nextNumber++;
                 orders.put(number, new Out(fresh));
                 numbers.put(fresh, number);
-                courier.submit(now(), number, settings.rule(order.messageClass()), Long.toString(order.destination()),
+                tracker.submit(now(), number, settings.rule(order.messageClass()), Long.toString(order.destination()),
                         order.tenant(), order.within().toMillis());
                 rearm();
             });
@@ -166,7 +166,7 @@
         try {
             loop.execute(() -> {
                 Long number = numbers.get(submission);
-                done.complete(number != null && courier.cancel(now(), number));
+                done.complete(number != null && tracker.cancel(now(), number));
                 rearm();
             });
         } catch (RejectedExecutionException e) {
@@ -182,7 +182,7 @@
             addresses.put(name, address);
             names.add(name);
         }
-        courier.senders(now(), names);
+        tracker.updateSenders(now(), names);
         rearm();
     }
 
@@ -192,13 +192,13 @@
 
     /** The end of a hand-in, as a sender tells it. */
     private void told(long number, int attempt, End end) {
-        courier.ended(now(), number, attempt, end);
+        tracker.onFinalAnswer(now(), number, attempt, end);
         rearm();
     }
 
     /** One timer, for the next thing that falls due. */
     private void rearm() {
-        long next = courier.nextMs();
+        long next = tracker.nextTickMs();
         if (timer != null && next >= timerMs && !timer.isDone()) {
             return;
         }
@@ -211,7 +211,7 @@
             timer = loop.schedule(() -> {
                 timerMs = Long.MAX_VALUE;
                 timer = null;
-                courier.tick(now());
+                tracker.tick(now());
                 rearm();
             }, Math.max(1, next - now()), TimeUnit.MILLISECONDS);
         }
@@ -223,7 +223,7 @@
         idle.forEach((sender, links) -> {
             while (!links.isEmpty() && now - links.peekLast().idleSinceMs >= settings.keepMs()) {
                 links.removeLast().close();
-                courier.retired(now, sender);
+                tracker.onConnectionRetired(now, sender);
             }
         });
         rearm();
@@ -234,10 +234,10 @@
         idle.computeIfAbsent(link.sender, s -> new ArrayDeque<>()).addFirst(link);
     }
 
-    /** What the courier decides is done here. */
-    private final class Doing implements Courier.Actions {
+    /** What the tracker decides is done here. */
+    private final class Doing implements OrderTracker.Actions {
         @Override
-        public void handIn(long number, int attempt, String sender, long budgetMs, Courier.Again again) {
+        public void send(long number, int attempt, String sender, long budgetMs, OrderTracker.PreviousSubmission again) {
             Out out = orders.get(number);
             Link link = idle.getOrDefault(sender, new ArrayDeque<>()).pollFirst();
             out.attempt = attempt;
@@ -249,7 +249,7 @@
                 }
                 out.link = null;
                 loop.execute(() -> {
-                    courier.heard(now(), number, attempt, Heard.unsent("the connection was closed"), false, false);
+                    tracker.onReply(now(), number, attempt, SubmissionReply.unsent("the connection was closed"), false, false);
                     rearm();
                 });
                 return;
@@ -273,12 +273,12 @@
         }
 
         @Override
-        public void connect(String sender, boolean trial) {
-            connectTo(new Link(sender, new Pool(trial)));
+        public void connect(String sender, boolean probe) {
+            connectTo(new Link(sender, new Pool(probe)));
         }
 
         @Override
-        public void end(long number, End end) {
+        public void complete(long number, End end) {
             Out out = orders.get(number);
             if (out.link == null) {
                 orders.remove(number);
@@ -292,15 +292,15 @@
         }
     }
 
-    private FullHttpRequest request(Order order, String call, long budgetMs, Courier.Again again) {
+    private FullHttpRequest request(Order order, String call, long budgetMs, OrderTracker.PreviousSubmission again) {
         FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST,
                 "/" + order.messageClass(), Unpooled.wrappedBuffer(order.body()));
         request.headers().set("X-Call-Id", call).set("X-Call-Class", order.messageClass())
                 .set("X-Caller", order.tenant()).set("X-Budget-Ms", budgetMs)
                 .set("X-Envelope", "dest=" + order.destination()).set("Idempotency-Key", order.key())
                 .set(HttpHeaderNames.CONTENT_LENGTH, order.body().length);
-        if (again != Courier.Again.NO) {
-            request.headers().set("X-Again", again == Courier.Again.REFUSED ? "1" : "again");
+        if (again != OrderTracker.PreviousSubmission.NONE) {
+            request.headers().set("X-Again", again == OrderTracker.PreviousSubmission.REFUSED ? "1" : "again");
         }
         if (follower != null) {
             request.headers().set(Follower.TO, settings.name());
@@ -329,7 +329,7 @@
         private void ready(Link link) {
             free(link);
             observer.connected(link.sender);
-            courier.connected(now(), link.sender);
+            tracker.onConnected(now(), link.sender);
             if (follower != null) {
                 follower.up(link.sender);
             }
@@ -338,14 +338,14 @@
 
         @Override
         public void answered(Link link, FullHttpResponse answer, boolean stays) {
-            courier.window(now(), link.sender, Answers.window(answer));
+            tracker.onReconnectWindow(now(), link.sender, Answers.window(answer));
             if (trial) {
                 trial = false;
                 if (answer.status().code() == 200 && stays) {
                     ready(link);
                 } else {
                     link.close();
-                    courier.connectFailed(now(), link.sender);
+                    tracker.onConnectFailed(now(), link.sender);
                     rearm();
                 }
                 return;
@@ -356,7 +356,7 @@
             if (stays) {
                 free(link);
             }
-            Heard heard = Answers.heard(answer, System.currentTimeMillis());
+            SubmissionReply heard = Answers.heard(answer, System.currentTimeMillis());
             settle(number, order, heard, stays, !stays);
         }
 
@@ -366,22 +366,23 @@
             if (out != null) {
                 long number = out;
                 out = null;
-                settle(number, orders.get(number), written ? Heard.lost(why) : Heard.unsent(why), false, false);
+                settle(number, orders.get(number), written ? SubmissionReply.lost(why) : SubmissionReply.unsent(why),
+                        false, false);
             } else if (idle.getOrDefault(link.sender, new ArrayDeque<>()).remove(link)) {
-                courier.closed(now(), link.sender, false);
+                tracker.onConnectionClosed(now(), link.sender, false);
             } else {
-                courier.connectFailed(now(), link.sender);
+                tracker.onConnectFailed(now(), link.sender);
             }
             rearm();
         }
 
-        private void settle(long number, Out order, Heard heard, boolean stays, boolean inOrder) {
+        private void settle(long number, Out order, SubmissionReply heard, boolean stays, boolean inOrder) {
             order.link = null;
             if (numbers.get(order.submission) == null) {
                 // Its end was told before its answer came.
                 orders.remove(number);
             }
-            courier.heard(now(), number, order.attempt, heard, stays, inOrder);
+            tracker.onReply(now(), number, order.attempt, heard, stays, inOrder);
             rearm();
         }
     }
@@ -401,7 +402,7 @@
         CompletableFuture<Void> done = new CompletableFuture<>();
         loop.execute(() -> {
             closed = true;
-            courier.close(now());
+            tracker.close(now());
             idle.values().forEach(links -> links.forEach(Link::close));
             idle.clear();
             if (follower != null) {
--- a/src/main/java/slipfield/client/decide/Level.java
+++ b/src/main/java/slipfield/client/decide/ConcurrencyLimit.java
@@ -5,7 +5,7 @@
  * shrinks where they come late, are refused, or do not come. (TCP Vegas, Brakmo and Peterson 1995: the queue is seen by the
  * time that it takes; AIMD, Chiu and Jain 1989.)
  */
-final class Level {
+final class ConcurrencyLimit {
     /** The quickest answer is forgotten after so long: what it came by may have changed. */
     private static final long MEMORY_MS = 10_000;
     /** One fault is many answers: it counts once in so long. */
@@ -24,7 +24,7 @@
     private long turnedMs;
     private long cutMs = Long.MIN_VALUE / 2;
 
-    Level(int least, int most, long nowMs) {
+    ConcurrencyLimit(int least, int most, long nowMs) {
         this.least = least;
         this.most = most;
         this.level = Math.min(most, 4.0 * least);
--- a/src/main/java/slipfield/client/decide/Courier.java
+++ b/src/main/java/slipfield/client/decide/OrderTracker.java
@@ -15,30 +15,30 @@
  * {@link Actions}, at once and in order. Each order has at most one hand-in out. Times are in ms of a clock that does not
  * go back; one that does stands still here.
  */
-public final class Courier {
+public final class OrderTracker {
     /** What a hand-in says of those before it (PROTOCOL, X-Again). */
-    public enum Again {
+    public enum PreviousSubmission {
         /** Nothing: it is the first, or no earlier one reached a sender. */
-        NO,
+        NONE,
         /** An earlier one was refused. */
         REFUSED,
         /** A sender had an earlier one and died, or did not answer. */
-        UNHEARD
+        UNANSWERED
     }
 
     /** What is to be done. None of it calls back before it returns. */
     public interface Actions {
         /** Hands the order in over an idle connection to this sender; {@code budgetMs}: how long it may still run. */
-        void handIn(long order, int attempt, String sender, long budgetMs, Again again);
+        void send(long order, int attempt, String sender, long budgetMs, PreviousSubmission again);
 
         /** Stops waiting for this hand-in's answer: its connection is closed. */
         void abandon(long order, int attempt);
 
-        /** Opens one more connection to this sender; {@code trial}: asks on it whether the sender is ready, too. */
-        void connect(String sender, boolean trial);
+        /** Opens one more connection to this sender; {@code probe}: asks on it whether the sender is ready, too. */
+        void connect(String sender, boolean probe);
 
         /** The order's one end. */
-        void end(long order, End end);
+        void complete(long order, End end);
     }
 
     private static final int MOST_DOUBLINGS = 10;
@@ -47,7 +47,7 @@
     private final RandomGenerator random;
     private final Actions actions;
     private final Map<Long, Item> orders = new HashMap<>();
-    private final Fleet fleet;
+    private final SenderPool fleet;
     /** May be handed in now, the one whose time is over first ahead. */
     private final TreeSet<Item> ready = new TreeSet<>(Item.BY_DEADLINE);
     /** May be handed in later. */
@@ -56,10 +56,10 @@
     private final TreeSet<Item> live = new TreeSet<>(Item.BY_END);
     /** Hand-ins out, by when their answer is no longer waited for. */
     private final TreeSet<Item> out = new TreeSet<>(Item.BY_ANSWER);
-    private final Waits<String> destinationWaits = new Waits<>();
-    private final Waits<String> tenantWaits = new Waits<>();
+    private final RetryAfterTimes<String> destinationWaits = new RetryAfterTimes<>();
+    private final RetryAfterTimes<String> tenantWaits = new RetryAfterTimes<>();
     private final RetryBudget budget;
-    private final Level level;
+    private final ConcurrencyLimit level;
     private long now;
     private boolean pumping;
     private boolean closed;
@@ -93,7 +93,7 @@
         long firstBeforeMs = -1;
         long sentMs;
         Sender at;
-        Again again = Again.NO;
+        PreviousSubmission again = PreviousSubmission.NONE;
         boolean taken;
         boolean cancelled;
         /** Its end is told; its hand-in still waits for an answer that came later than that. */
@@ -111,14 +111,14 @@
     }
 
     /** Begins at this time, without senders. */
-    public Courier(Rules rules, RandomGenerator random, long nowMs, Actions actions) {
+    public OrderTracker(Rules rules, RandomGenerator random, long nowMs, Actions actions) {
         this.rules = rules;
         this.random = random;
         this.actions = actions;
-        this.fleet = new Fleet(rules, random, actions::connect);
+        this.fleet = new SenderPool(rules, random, actions::connect);
         this.now = nowMs;
         this.budget = new RetryBudget(rules.retryShare(), rules.retryBurst(), nowMs);
-        this.level = new Level(rules.leastInFlight(), rules.mostInFlight(), nowMs);
+        this.level = new ConcurrencyLimit(rules.leastInFlight(), rules.mostInFlight(), nowMs);
     }
 
     private void at(long nowMs) {
@@ -128,7 +128,7 @@
     // ---- what is told ----
 
     /** The list of senders; one that left it gets nothing new. An empty list stands for not knowing: the last one stays. */
-    public void senders(long nowMs, Collection<String> names) {
+    public void updateSenders(long nowMs, Collection<String> names) {
         at(nowMs);
         if (names.isEmpty()) {
             return;
@@ -174,21 +174,21 @@
     }
 
     /** A connection to this sender stands; of a trial: and it says that it is ready. */
-    public void connected(long nowMs, String name) {
+    public void onConnected(long nowMs, String name) {
         at(nowMs);
         fleet.of(name).ifPresent(s -> fleet.connected(now, s));
         pump();
     }
 
     /** A connection did not come up, or the sender is not ready on it: it is closed. */
-    public void connectFailed(long nowMs, String name) {
+    public void onConnectFailed(long nowMs, String name) {
         at(nowMs);
         fleet.of(name).ifPresent(s -> fleet.connectFailed(now, s));
         pump();
     }
 
     /** A connection was closed that no hand-in was out on; {@code inOrder}: the sender said so before. */
-    public void closed(long nowMs, String name, boolean inOrder) {
+    public void onConnectionClosed(long nowMs, String name, boolean inOrder) {
         at(nowMs);
         fleet.of(name).ifPresent(s -> {
             s.idle = Math.max(0, s.idle - 1);
@@ -201,13 +201,13 @@
     }
 
     /** An idle connection was closed from this side, before the sender would: nothing is lost by it. */
-    public void retired(long nowMs, String name) {
+    public void onConnectionRetired(long nowMs, String name) {
         at(nowMs);
         fleet.of(name).ifPresent(s -> s.idle = Math.max(0, s.idle - 1));
     }
 
     /** A sender tells over what time its clients are to connect anew, in ms. */
-    public void window(long nowMs, String name, long windowMs) {
+    public void onReconnectWindow(long nowMs, String name, long windowMs) {
         at(nowMs);
         if (windowMs >= 0) {
             fleet.of(name).ifPresent(s -> s.toldWindowMs = Math.min(windowMs, rules.mostSpreadMs()));
@@ -218,7 +218,7 @@
      * What became of a hand-in. {@code stays}: its connection can be used again; {@code inOrder}: if not, the sender said that
      * it closes. One that is not waited for any more is passed over.
      */
-    public void heard(long nowMs, long number, int attempt, Heard heard, boolean stays, boolean inOrder) {
+    public void onReply(long nowMs, long number, int attempt, SubmissionReply heard, boolean stays, boolean inOrder) {
         at(nowMs);
         Item item = orders.get(number);
         if (item == null || item.at == null || item.attempts != attempt) {
@@ -242,7 +242,7 @@
      * The end of a hand-in that was taken, as the sender tells it; {@code end}: delivered, refused or failed. Of an earlier
      * hand-in than the last only a delivery counts: the last one may run still.
      */
-    public void ended(long nowMs, long number, int attempt, End end) {
+    public void onFinalAnswer(long nowMs, long number, int attempt, End end) {
         at(nowMs);
         Item item = orders.get(number);
         if (item == null || attempt != item.attempts && !(end instanceof End.Delivered)) {
@@ -258,7 +258,7 @@
             item.taken = false;
             move(item, item.deadlineMs);
             item.firstMs = item.firstBeforeMs;
-            item.again = Again.REFUSED;
+            item.again = PreviousSubmission.REFUSED;
             item.lastWhy = refused.why();
             ready.remove(item);
             parked.remove(item);
@@ -267,14 +267,14 @@
             // Its 202 is on its way still: the connection is free when that has come.
             item.over = true;
             live.remove(item);
-            actions.end(number, end);
+            actions.complete(number, end);
         } else if (!item.over) {
             end(item, end);
         }
         pump();
     }
 
-    /** The time has come that {@link #nextMs} told. */
+    /** The time has come that {@link #nextTickMs} told. */
     public void tick(long nowMs) {
         at(nowMs);
         pump();
@@ -293,7 +293,7 @@
     }
 
     /** When {@link #tick} has something to do, if nothing is told before; never: {@link Long#MAX_VALUE}. */
-    public long nextMs() {
+    public long nextTickMs() {
         long next = Long.MAX_VALUE;
         if (closed) {
             return next;
@@ -337,7 +337,7 @@
             int outBefore = out.size();
             unsend(item, false);
             fleet.lost(now, sender);
-            settle(item, sender, Heard.lost("no answer from " + sender.name + " in " + (now - item.sentMs) + " ms"),
+            settle(item, sender, SubmissionReply.lost("no answer from " + sender.name + " in " + (now - item.sentMs) + " ms"),
                     now - item.sentMs, outBefore);
         }
         while (!live.isEmpty() && live.first().endMs <= now) {
@@ -369,8 +369,8 @@
                 park(item, waitMs, new End.Refused(waitMs - now, "told to wait; " + item.lastWhy));
                 continue;
             }
-            long until = Resends.until(item.rule, rules, now, item.deadlineMs, item.firstMs);
-            if (until == Resends.NEVER) {
+            long until = ResubmissionDeadline.until(item.rule, rules, now, item.deadlineMs, item.firstMs);
+            if (until == ResubmissionDeadline.NEVER) {
                 ready.remove(item);
                 end(item, over(item, "too late to hand it in again; " + item.lastWhy));
                 continue;
@@ -407,7 +407,7 @@
         out.add(item);
         sender.idle--;
         sender.busy++;
-        actions.handIn(item.number, item.attempts, sender.name, until - now, item.again);
+        actions.send(item.number, item.attempts, sender.name, until - now, item.again);
     }
 
     /** Where every sender has told a wait, an order whose time is over before the first of them ends at once. */
@@ -435,9 +435,9 @@
         }
     }
 
-    private void settle(Item item, Sender sender, Heard heard, double took, int outBefore) {
+    private void settle(Item item, Sender sender, SubmissionReply heard, double took, int outBefore) {
         item.lastWhy = heard.why();
-        if (heard.kind() == Heard.Kind.REFUSED && heard.waitMs() > 0) {
+        if (heard.kind() == SubmissionReply.Kind.REFUSED && heard.retryAfterMs() > 0) {
             toldToWait(item, sender, heard);
         }
         if (item.over) {
@@ -445,8 +445,8 @@
             return;
         }
         switch (heard.kind()) {
-            case TAKEN -> {
-                Fleet.answered(sender);
+            case ACCEPTED -> {
+                SenderPool.answered(sender);
                 level.answered(now, took, outBefore);
                 item.fruitless = 0;
                 item.taken = true;
@@ -457,19 +457,19 @@
                 }
             }
             case REFUSED -> {
-                Fleet.answered(sender);
+                SenderPool.answered(sender);
                 item.firstMs = item.firstBeforeMs;
-                item.again = Again.REFUSED;
-                long until = now + heard.waitMs();
-                if (heard.scope() == Heard.Scope.SENDER) {
+                item.again = PreviousSubmission.REFUSED;
+                long until = now + heard.retryAfterMs();
+                if (heard.scope() == SubmissionReply.Scope.SENDER) {
                     level.pushedBack(now);
                 }
-                End refused = new End.Refused(heard.waitMs(), heard.why());
-                boolean elsewhere = heard.scope() == Heard.Scope.SENDER && fleet.otherThan(now, sender);
-                again(item, elsewhere ? now : heard.waitMs() > 0 ? until : now + pause(item), refused);
+                End refused = new End.Refused(heard.retryAfterMs(), heard.why());
+                boolean elsewhere = heard.scope() == SubmissionReply.Scope.SENDER && fleet.otherThan(now, sender);
+                again(item, elsewhere ? now : heard.retryAfterMs() > 0 ? until : now + pause(item), refused);
             }
             case REJECTED -> {
-                Fleet.answered(sender);
+                SenderPool.answered(sender);
                 item.firstMs = item.firstBeforeMs;
                 end(item, item.firstMs >= 0 ? new End.Unknown(false, heard.why()) : new End.Failed(false, heard.why()));
             }
@@ -481,14 +481,14 @@
             case LOST -> {
                 fleet.unanswered(now, sender);
                 level.pushedBack(now);
-                item.again = Again.UNHEARD;
+                item.again = PreviousSubmission.UNANSWERED;
                 again(item, now + pause(item), new End.Unknown(false, heard.why()));
             }
         }
     }
 
-    private void toldToWait(Item item, Sender sender, Heard heard) {
-        long until = now + heard.waitMs();
+    private void toldToWait(Item item, Sender sender, SubmissionReply heard) {
+        long until = now + heard.retryAfterMs();
         switch (heard.scope()) {
             case SENDER -> fleet.toldToWait(now, sender, until);
             case DESTINATION -> destinationWaits.told(now, item.destination, until);
@@ -514,7 +514,8 @@
     }
 
     private void park(Item item, long atMs, End otherwise) {
-        if (Resends.until(item.rule, rules, Math.max(now, atMs), item.deadlineMs, item.firstMs) == Resends.NEVER) {
+        if (ResubmissionDeadline.until(item.rule, rules, Math.max(now, atMs), item.deadlineMs, item.firstMs)
+                == ResubmissionDeadline.NEVER) {
             end(item, item.firstMs >= 0 ? over(item, item.lastWhy) : otherwise);
         } else if (atMs <= now) {
             ready.add(item);
@@ -542,6 +543,6 @@
             item.at.busy--;
             item.at = null;
         }
-        actions.end(item.number, end);
+        actions.complete(item.number, end);
     }
 }
--- a/src/main/java/slipfield/client/decide/Spread.java
+++ b/src/main/java/slipfield/client/decide/ReconnectBackoff.java
@@ -7,13 +7,13 @@
  * connect in one moment. A few draw from its first tenth: they find out whether it is back. (AWS Architecture Blog,
  * "Exponential Backoff and Jitter", full jitter.)
  */
-final class Spread {
+final class ReconnectBackoff {
     private static final int MOST_DOUBLINGS = 10;
     /** Connects that fail before the window grows: while they are spread over it they ask little of a sender. */
     private static final int PATIENCE = 4;
     private static final double HEAD = 0.1;
 
-    private Spread() {
+    private ReconnectBackoff() {
     }
 
     /**
--- a/src/main/java/slipfield/client/decide/Resends.java
+++ b/src/main/java/slipfield/client/decide/ResubmissionDeadline.java
@@ -4,11 +4,11 @@
  * Until when an order may run, if it is handed in now. Two copies of a keyed order may both run as long as they do so
  * within the venue's window of each other: so all that may be out end within one window of the first that may have run.
  */
-final class Resends {
+final class ResubmissionDeadline {
     /** It may not be handed in any more. */
     static final long NEVER = Long.MIN_VALUE;
 
-    private Resends() {
+    private ResubmissionDeadline() {
     }
 
     /**
--- a/src/main/java/slipfield/client/decide/Waits.java
+++ b/src/main/java/slipfield/client/decide/RetryAfterTimes.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** Told waits, by what they hold for; the longest told holds. */
-final class Waits<K> {
+final class RetryAfterTimes<K> {
     private static final int SWEPT_AT = 1024;
 
     private final Map<K, Long> until = new HashMap<>();
--- a/src/main/java/slipfield/client/decide/Fleet.java
+++ b/src/main/java/slipfield/client/decide/SenderPool.java
@@ -12,7 +12,7 @@
 import java.util.random.RandomGenerator;
 
 /** The senders of a client: their connections, which of them gets the next hand-in, who is left alone, and until when. */
-final class Fleet {
+final class SenderPool {
     /** Opens a connection. */
     interface Connects {
         void connect(String sender, boolean trial);
@@ -26,9 +26,9 @@
     private final RandomGenerator random;
     private final Connects connects;
     private final Map<String, Sender> senders = new LinkedHashMap<>();
-    private final Waits<String> waits = new Waits<>();
+    private final RetryAfterTimes<String> waits = new RetryAfterTimes<>();
 
-    Fleet(Rules rules, RandomGenerator random, Connects connects) {
+    SenderPool(Rules rules, RandomGenerator random, Connects connects) {
         this.rules = rules;
         this.random = random;
         this.connects = connects;
@@ -182,7 +182,7 @@
         }
         sender.state = Sender.State.AWAY;
         sender.connectMs = Math.max(sender.drainingUntilMs, now)
-                + Spread.delay(rules, window(sender), sender.failures, random);
+                + ReconnectBackoff.delay(rules, window(sender), sender.failures, random);
     }
 
     /** Whether another one may be asked, now or once it is up: one that told no wait. */
--- a/src/main/java/slipfield/client/decide/Heard.java
+++ b/src/main/java/slipfield/client/decide/SubmissionReply.java
@@ -3,15 +3,15 @@
 /**
  * What became of one hand-in.
  *
- * @param waitMs REFUSED: the time told to come back after, in ms; 0: none was told
+ * @param retryAfterMs REFUSED: the time told to come back after, in ms; 0: none was told
  * @param scope REFUSED: what the wait holds for
  * @param why for people
  */
-public record Heard(Kind kind, long waitMs, Scope scope, String why) {
+public record SubmissionReply(Kind kind, long retryAfterMs, Scope scope, String why) {
     /** What it proves. */
     public enum Kind {
         /** A sender has it. */
-        TAKEN,
+        ACCEPTED,
         /** It was not taken, and may be handed in again. */
         REFUSED,
         /** It was not taken, and never will be as it is. */
@@ -33,27 +33,27 @@
     }
 
     /** Taken. */
-    public static Heard taken() {
-        return new Heard(Kind.TAKEN, 0, Scope.SENDER, "");
+    public static SubmissionReply accepted() {
+        return new SubmissionReply(Kind.ACCEPTED, 0, Scope.SENDER, "");
     }
 
     /** Refused, with a wait in ms, or 0. */
-    public static Heard refused(long waitMs, Scope scope, String why) {
-        return new Heard(Kind.REFUSED, Math.max(0, waitMs), scope, why);
+    public static SubmissionReply refused(long retryAfterMs, Scope scope, String why) {
+        return new SubmissionReply(Kind.REFUSED, Math.max(0, retryAfterMs), scope, why);
     }
 
     /** Not taken as it is. */
-    public static Heard rejected(String why) {
-        return new Heard(Kind.REJECTED, 0, Scope.SENDER, why);
+    public static SubmissionReply rejected(String why) {
+        return new SubmissionReply(Kind.REJECTED, 0, Scope.SENDER, why);
     }
 
     /** Never written whole. */
-    public static Heard unsent(String why) {
-        return new Heard(Kind.UNSENT, 0, Scope.SENDER, why);
+    public static SubmissionReply unsent(String why) {
+        return new SubmissionReply(Kind.UNSENT, 0, Scope.SENDER, why);
     }
 
     /** Written whole, and not answered in a way that tells. */
-    public static Heard lost(String why) {
-        return new Heard(Kind.LOST, 0, Scope.SENDER, why);
+    public static SubmissionReply lost(String why) {
+        return new SubmissionReply(Kind.LOST, 0, Scope.SENDER, why);
     }
 }
--- a/src/main/java/slipfield/front/amqp/Publications.java
+++ b/src/main/java/slipfield/front/amqp/Publications.java
@@ -12,7 +12,7 @@
 import java.util.function.Consumer;
 import slipfield.amqp.client.Brokers;
 import slipfield.amqp.codec.ReplyCode;
-import slipfield.amqp.decide.Routes;
+import slipfield.amqp.decide.RoutingTable;
 import slipfield.amqp.server.AmqpServer;
 import slipfield.amqp.Publication;
 import slipfield.amqp.Publisher;
@@ -38,7 +38,7 @@
     public static final String NAME = "amqp";
 
     private final AmqpServer server;
-    private final Routes routes;
+    private final RoutingTable routes;
     private final Consumer<Owed> heard;
     /** Who waits for which message's end. */
     private final Map<String, Waiting> waiting = new HashMap<>();
@@ -59,7 +59,7 @@
     }
 
     /** {@code heard} is told of each answer that was passed on, or that nobody waits for. */
-    public Publications(AmqpServer server, Routes routes, Consumer<Owed> heard) {
+    public Publications(AmqpServer server, RoutingTable routes, Consumer<Owed> heard) {
         this.server = server;
         this.routes = routes;
         this.heard = heard;
@@ -106,7 +106,7 @@
 
     @Override
     public void published(Publisher from, Publication p) {
-        Optional<Routes.Target> target = routes.target(p.exchange(), p.routingKey());
+        Optional<RoutingTable.Target> target = routes.resolve(p.exchange(), p.routingKey());
         if (closing) {
             refused(from, p, ReplyCode.CONNECTION_FORCED, "the sender ends; publish again, there or elsewhere", 0);
         } else if (target.isEmpty()) {
--- a/src/main/java/slipfield/front/amqp/Reading.java
+++ b/src/main/java/slipfield/front/amqp/Reading.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import slipfield.amqp.codec.Properties;
 import slipfield.amqp.codec.Properties.Property;
-import slipfield.amqp.decide.Routes;
+import slipfield.amqp.decide.RoutingTable;
 import slipfield.amqp.Publication;
 import slipfield.config.BadInput;
 import slipfield.core.Desk;
@@ -26,7 +26,7 @@
      *
      * @param ownId used where it has no message-id: nobody can hand it in again under that one
      */
-    Desk.Submission read(Publication p, Routes.Target target, String ownId, Claim claim) throws BadInput {
+    Desk.Submission read(Publication p, RoutingTable.Target target, String ownId, Claim claim) throws BadInput {
         Properties properties = p.properties();
         String user = properties.text(Property.USER_ID);
         if (!user.isEmpty() && !user.equals(p.user().name())) {
--- a/src/main/java/slipfield/transport/amqp/Queues.java
+++ b/src/main/java/slipfield/transport/amqp/Queues.java
@@ -16,7 +16,7 @@
 import slipfield.amqp.Receiver;
 import slipfield.amqp.codec.Properties;
 import slipfield.amqp.codec.Properties.Property;
-import slipfield.amqp.decide.Consumers;
+import slipfield.amqp.decide.ConsumerRegistry;
 import slipfield.core.Directory;
 import slipfield.core.Transport;
 import slipfield.journal.Held;
@@ -34,7 +34,7 @@
     /** By name, those of whoever came so far: one that left is told of once more. */
     private final Map<String, AmqpConfig.Queue> queues = new HashMap<>();
     private final Ends ends;
-    private final Consumers consumers;
+    private final ConsumerRegistry consumers;
     private final Map<String, Line> lines = new HashMap<>();
     private final Map<Long, String> endpoints = new HashMap<>();
     private Lists lists;
@@ -54,7 +54,7 @@
     public Queues(EventLoop loop, long awayMs, Ends ends) {
         this.loop = loop;
         this.ends = ends;
-        this.consumers = new Consumers(awayMs);
+        this.consumers = new ConsumerRegistry(awayMs);
     }
 
     // ---- consumers as endpoints ----
@@ -73,41 +73,41 @@
 
     @Override
     public boolean mayCome(Receiver receiver, boolean exclusive) {
-        return lists != null && consumers.mayCome(receiver.name(), receiver.queue().name(), exclusive);
+        return lists != null && consumers.canAdd(receiver.name(), receiver.queue().name(), exclusive);
     }
 
     @Override
     public void came(Receiver receiver, boolean exclusive) {
         lines.put(receiver.name(), new Line(receiver));
         queues.put(receiver.queue().name(), receiver.queue());
-        tell(consumers.came(receiver.name(), receiver.queue().name(), exclusive, receiver.priority()));
+        tell(consumers.add(receiver.name(), receiver.queue().name(), exclusive, receiver.priority()));
     }
 
     @Override
     public void left(Receiver receiver) {
         Line line = lines.remove(receiver.name());
-        tell(consumers.left(receiver.name(), nowMs()));
+        tell(consumers.remove(receiver.name(), nowMs()));
         // They were not sent, and can go elsewhere.
         List.copyOf(line.waiting).forEach(call -> call.end(Outcome.NOT_SENT));
         forgetLater();
     }
 
-    private void tell(List<Consumers.Entry> changed) {
+    private void tell(List<ConsumerRegistry.EndpointUpdate> changed) {
         lists.listed(false, changed.stream().map(entry -> {
             AmqpConfig.Queue queue = queues.get(entry.queue());
             return new Entry(entry.name(), new ConsumerAddress(entry.name()), queue.zone(), queue.kind(), queue.destination(),
-                    entry.serving(), 0, entry.gone());
+                    entry.inService(), 0, entry.removed());
         }).toList());
     }
 
     private void forgetLater() {
-        OptionalDouble next = consumers.nextMs();
+        OptionalDouble next = consumers.nextExpiryMs();
         if (tick != null) {
             tick.cancel(false);
         }
         if (next.isPresent()) {
             tick = loop.schedule(() -> {
-                List<Consumers.Entry> gone = consumers.forgotten(nowMs());
+                List<ConsumerRegistry.EndpointUpdate> gone = consumers.removeExpired(nowMs());
                 if (!gone.isEmpty()) {
                     tell(gone);
                 }
@@ -122,7 +122,7 @@
 
     @Override
     public int consumers(String queue) {
-        return consumers.here(queue);
+        return consumers.count(queue);
     }
 
     // ---- attempts ----
--- a/src/main/java/slipfield/work/Worker.java
+++ b/src/main/java/slipfield/work/Worker.java
@@ -76,7 +76,7 @@
 
     /** A kind of work. */
     public void kind(Kind kind) {
-        scheduler.kind(kind, nowMs());
+        scheduler.addKind(kind, nowMs());
     }
 
     /** Takes a job on; empty where there are too many. */
@@ -97,7 +97,7 @@
 
     /** A job is of this grade from now on. */
     public void raise(long number, Grade grade) {
-        scheduler.raise(number, grade, nowMs());
+        scheduler.raiseGrade(number, grade, nowMs());
         run();
     }
 
@@ -119,7 +119,7 @@
         if (!closed) {
             loop.schedule(this::watch, WATCH_MS, TimeUnit.MILLISECONDS);
         }
-        scheduler.watch(now);
+        scheduler.checkOverruns(now);
         tell();
         run();
     }
@@ -128,7 +128,7 @@
         if (closed) {
             return;
         }
-        scheduler.turn();
+        scheduler.beginIteration();
         long until = System.nanoTime() + TURN_NANOS;
         while (System.nanoTime() < until && onPool < POOL + POOL_WAITING) {
             Optional<Scheduler.Slice> next = scheduler.next(nowMs(), lateness);
@@ -171,12 +171,12 @@
     private void ended(Scheduler.Slice slice, Outcome outcome) {
         Cost cost = new Cost(outcome.cpuMs, outcome.done.bytes(), outcome.done.more());
         if (outcome.thrown == null) {
-            scheduler.ran(slice.job(), cost, nowMs());
+            scheduler.sliceDone(slice.job(), cost, nowMs());
         } else {
             Log.warn("work.threw", "job", slice.name(), "kind", slice.kind(), "cause", outcome.thrown);
-            scheduler.threw(slice.job(), cost, nowMs());
+            scheduler.sliceThrew(slice.job(), cost, nowMs());
         }
-        if (!scheduler.knows(slice.job())) {
+        if (!scheduler.contains(slice.job())) {
             tasks.remove(slice.job());
         }
     }
@@ -199,10 +199,10 @@
     }
 
     private void tell() {
-        List<String> events = scheduler.events();
+        List<String> events = scheduler.takeEvents();
         if (!events.isEmpty()) {
             events.forEach(event -> Log.warn("work.changed", "what", event));
-            tasks.keySet().removeIf(number -> !scheduler.knows(number));
+            tasks.keySet().removeIf(number -> !scheduler.contains(number));
         }
     }
 
--- a/src/main/java/slipfield/work/decide/Scheduler.java
+++ b/src/main/java/slipfield/work/decide/Scheduler.java
@@ -16,7 +16,8 @@
 /**
  * Which slice of background work is done next. Pure: it is told the time, how late the loop is and what slices cost.
  *
- * <p>Each grade stands behind the one before it by {@link #AGE_MS}: a job's rank is when it fell due plus that for each grade,
+ * <p>Each grade stands behind the one before it by {@link #GRADE_STEP_MS}: a job's rank is when it fell due plus that
+ * for each grade,
  * so that what waits rises, and whatever is due now passes it only for so long. {@link Grade#ENDS} is outside of that: it goes
  * first always, and alone while the loop is late. Work takes from two buckets, its kind's and that of all background work,
  * which ENDS does not. Not thread-safe; times are milliseconds of a clock that may be set back, which costs nothing but
@@ -24,9 +25,9 @@
  */
 public final class Scheduler {
     /** By so much each grade stands behind the one before it. */
-    public static final double AGE_MS = 2000;
+    public static final double GRADE_STEP_MS = 2000;
     /** From here on the loop is late, and nothing but ENDS runs. */
-    public static final double LATE_MS = 50;
+    public static final double LATE_LOOP_MS = 50;
     /** A job that throws waits so long before its next slice, doubled each time, and is set aside after so many in a row. */
     private static final double FIRST_PAUSE_MS = 100;
     private static final double LONGEST_PAUSE_MS = 60_000;
@@ -43,8 +44,8 @@
 
     private final class OfKind {
         private final Kind kind;
-        private final Bucket cpu;
-        private final Bucket bytes;
+        private final TokenBucket cpu;
+        private final TokenBucket bytes;
         private final TreeSet<Entry> due = new TreeSet<>(Comparator.comparingDouble((Entry e) -> e.rank)
                 .thenComparingDouble(e -> e.job.deadlineMs()).thenComparingLong(e -> e.number));
         private int later;
@@ -60,13 +61,13 @@
 
         private OfKind(Kind kind, double now) {
             this.kind = kind;
-            this.cpu = new Bucket(kind.cpuShare(), kind.burstMs(), now);
-            this.bytes = kind.bytesPerSecond() == 0 ? null : new Bucket(kind.bytesPerSecond() / 1000.0,
+            this.cpu = new TokenBucket(kind.cpuShare(), kind.burstMs(), now);
+            this.bytes = kind.bytesPerSecond() == 0 ? null : new TokenBucket(kind.bytesPerSecond() / 1000.0,
                     kind.bytesPerSecond(), now);
         }
 
         private boolean mayRun(double now, boolean late) {
-            if (!stopped.isEmpty() || due.isEmpty() || inTurn >= kind.slicesATurn()) {
+            if (!stopped.isEmpty() || due.isEmpty() || inTurn >= kind.slicesPerIteration()) {
                 return false;
             }
             Entry first = due.first();
@@ -105,7 +106,7 @@
 
     private final int most;
     private final SplittableRandom random;
-    private final Bucket all;
+    private final TokenBucket all;
     private final Map<String, OfKind> kinds = new LinkedHashMap<>();
     private final Map<Long, Entry> jobs = new HashMap<>();
     /** Whose slice runs; one that was called off is still here until that has ended. */
@@ -124,12 +125,12 @@
      */
     public Scheduler(int most, double cpuShare, double burstMs, long seed, double now) {
         this.most = most;
-        this.all = new Bucket(cpuShare, burstMs, now);
+        this.all = new TokenBucket(cpuShare, burstMs, now);
         this.random = new SplittableRandom(seed);
     }
 
     /** A kind of work; its name may not be known yet. */
-    public void kind(Kind kind, double now) {
+    public void addKind(Kind kind, double now) {
         if (kinds.putIfAbsent(kind.name(), new OfKind(kind, now)) != null) {
             throw new IllegalArgumentException("there is a kind of this name: " + kind.name());
         }
@@ -194,7 +195,7 @@
     }
 
     /** A job is of this grade from now on: what frees room must not wait behind those that wait for room. */
-    public void raise(long number, Grade grade, double now) {
+    public void raiseGrade(long number, Grade grade, double now) {
         Entry entry = jobs.get(number);
         if (entry == null || grade.compareTo(entry.grade) >= 0) {
             return;
@@ -204,7 +205,7 @@
             entry.of.due.remove(entry);
         }
         entry.grade = grade;
-        entry.rank = entry.dueMs + grade.ordinal() * AGE_MS;
+        entry.rank = entry.dueMs + grade.ordinal() * GRADE_STEP_MS;
         if (due) {
             entry.of.due.add(entry);
         } else if (entry.state == State.LATER && entry.after.isEmpty()) {
@@ -245,7 +246,7 @@
 
     private void wait(Entry entry, double dueMs) {
         entry.dueMs = dueMs;
-        entry.rank = dueMs + entry.grade.ordinal() * AGE_MS;
+        entry.rank = dueMs + entry.grade.ordinal() * GRADE_STEP_MS;
         entry.state = State.LATER;
         if (entry.after.isEmpty()) {
             later.add(entry);
@@ -265,14 +266,14 @@
     // ---- slices ----
 
     /** The loop's turn begins: each kind may have its slices of it. */
-    public void turn() {
+    public void beginIteration() {
         kinds.values().forEach(k -> k.inTurn = 0);
     }
 
-    /** The slice to be done next, if any may be; it runs from now on until {@link #ran} or {@link #threw}. */
+    /** The slice to be done next, if any may be; it runs from now on until {@link #sliceDone} or {@link #sliceThrew}. */
     public Optional<Slice> next(double now, double latenessMs) {
         fallDue(now);
-        boolean late = latenessMs >= LATE_MS;
+        boolean late = latenessMs >= LATE_LOOP_MS;
         Entry best = null;
         for (OfKind of : kinds.values()) {
             if (of.mayRun(now, late)) {
@@ -304,7 +305,7 @@
     }
 
     /** A slice has ended. */
-    public void ran(long number, Cost cost, double now) {
+    public void sliceDone(long number, Cost cost, double now) {
         Entry entry = ended(number, cost, now);
         if (entry == null) {
             return;
@@ -326,7 +327,7 @@
     }
 
     /** A slice has thrown: the job waits, longer each time, and is set aside after some. */
-    public void threw(long number, Cost cost, double now) {
+    public void sliceThrew(long number, Cost cost, double now) {
         Entry entry = ended(number, cost, now);
         if (entry == null) {
             return;
@@ -363,15 +364,15 @@
         if (entry.grade != Grade.ENDS) {
             all.take(now, cost.cpuMs());
         }
-        if (!of.kind.blocks() && cost.cpuMs() > of.kind.longestMs()) {
+        if (!of.kind.blocks() && cost.cpuMs() > of.kind.maxSliceMs()) {
             stop(entry, "a slice took " + Math.round(cost.cpuMs()) + " ms of the loop");
         }
     }
 
     /** Looks for slices that do not end; a kind of which one does not is stopped, and told of. */
-    public void watch(double now) {
+    public void checkOverruns(double now) {
         for (Entry entry : running.values()) {
-            if (now - entry.begunMs > entry.of.kind.longestMs()) {
+            if (now - entry.begunMs > entry.of.kind.maxSliceMs()) {
                 stop(entry, "a slice has not ended for " + Math.round(now - entry.begunMs) + " ms");
             }
         }
@@ -400,19 +401,19 @@
     }
 
     /** What people should hear, since it was last asked for. */
-    public List<String> events() {
+    public List<String> takeEvents() {
         List<String> since = List.copyOf(events);
         events.clear();
         return since;
     }
 
     /** Whether a job is known: it has not ended, nor was it called off. */
-    public boolean knows(long number) {
+    public boolean contains(long number) {
         return jobs.containsKey(number);
     }
 
     /** Jobs that are known. */
-    public int jobs() {
+    public int jobCount() {
         return jobs.size();
     }
 
--- a/src/main/java/slipfield/work/decide/Bucket.java
+++ b/src/main/java/slipfield/work/decide/TokenBucket.java
@@ -4,14 +4,14 @@
  * A token bucket that may go into debt by what one slice takes, since that is known only afterwards: nothing more is given
  * until the debt is paid. So in any stretch of time no more is used than the rate gives, the bucket holds, and one slice.
  */
-final class Bucket {
+final class TokenBucket {
     private final double perMs;
     private final double most;
     private double tokens;
     private double filledMs;
 
     /** Full at the beginning; {@code perMs} above 0. */
-    Bucket(double perMs, double most, double now) {
+    TokenBucket(double perMs, double most, double now) {
         this.perMs = perMs;
         this.most = most;
         this.tokens = most;
--- a/src/test/java/slipfield/amqp/AmqpConfigTest.java
+++ b/src/test/java/slipfield/amqp/AmqpConfigTest.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import slipfield.amqp.decide.Routes;
+import slipfield.amqp.decide.RoutingTable;
 import slipfield.config.BadInput;
 
 /** The operator's file: the one that is delivered, and what is told of broken ones. */
@@ -54,7 +54,7 @@
     @Test
     void theDeliveredFileIsGood() throws Exception {
         AmqpConfig config = AmqpConfig.read(Path.of("deploy", "amqp.yaml"), KNOWN);
-        assertEquals(Optional.of(new Routes.Target("order-keyed", 17)), config.routes().target("orders", "order.17"));
+        assertEquals(Optional.of(new RoutingTable.Target("order-keyed", 17)), config.routes().resolve("orders", "order.17"));
         assertEquals(new AmqpConfig.Queue("to-broker", 90, "m", "a"), config.queues().get("to-broker"));
         assertFalse(config.unconfirmed() || config.tls().isPresent());
         assertFalse(config.users().get("desk").secret().orElseThrow().matches(""), "nobody knows its password");
--- a/src/test/java/slipfield/amqp/decide/AmqpDecisionsTest.java
+++ b/src/test/java/slipfield/amqp/decide/AmqpDecisionsTest.java
@@ -26,17 +26,17 @@
 
     @Test
     void aKeyGoesWhereTheFirstFittingPatternSays() {
-        Routes routes = new Routes().exchange("x", List.of(new Routes.Route("order.*", "order", 0, 2),
-                new Routes.Route("once.#", "once", 5, 0), new Routes.Route("#.last", "order", 9, 0)));
-        assertEquals(Optional.of(new Routes.Target("order", 17)), routes.target("x", "order.17"));
-        assertEquals(Optional.empty(), routes.target("x", "order.west"), "no number");
-        assertEquals(Optional.empty(), routes.target("x", "order.99999999999999999999"), "more than a number holds");
-        assertEquals(Optional.of(new Routes.Target("once", 5)), routes.target("x", "once"));
-        assertEquals(Optional.of(new Routes.Target("once", 5)), routes.target("x", "once.a.last"));
-        assertEquals(Optional.of(new Routes.Target("order", 9)), routes.target("x", "a.b.last"));
-        assertEquals(Optional.empty(), routes.target("x", "order.1.2"));
-        assertEquals(Optional.empty(), routes.target("y", "order.17"));
-        assertTrue(routes.binds("x", "order.*") && !routes.binds("x", "order.#") && !routes.knows("y"));
+        RoutingTable routes = new RoutingTable().addExchange("x", List.of(new RoutingTable.Route("order.*", "order", 0, 2),
+                new RoutingTable.Route("once.#", "once", 5, 0), new RoutingTable.Route("#.last", "order", 9, 0)));
+        assertEquals(Optional.of(new RoutingTable.Target("order", 17)), routes.resolve("x", "order.17"));
+        assertEquals(Optional.empty(), routes.resolve("x", "order.west"), "no number");
+        assertEquals(Optional.empty(), routes.resolve("x", "order.99999999999999999999"), "more than a number holds");
+        assertEquals(Optional.of(new RoutingTable.Target("once", 5)), routes.resolve("x", "once"));
+        assertEquals(Optional.of(new RoutingTable.Target("once", 5)), routes.resolve("x", "once.a.last"));
+        assertEquals(Optional.of(new RoutingTable.Target("order", 9)), routes.resolve("x", "a.b.last"));
+        assertEquals(Optional.empty(), routes.resolve("x", "order.1.2"));
+        assertEquals(Optional.empty(), routes.resolve("y", "order.17"));
+        assertTrue(routes.hasBinding("x", "order.*") && !routes.hasBinding("x", "order.#") && !routes.hasExchange("y"));
     }
 
     /** Against the specification's words read literally, by recursion. */
@@ -48,8 +48,8 @@
         if (p.isEmpty()) {
             return;
         }
-        boolean got = new Routes().exchange("x", List.of(new Routes.Route(String.join(".", p), "c", 1, 0)))
-                .target("x", String.join(".", k)).isPresent();
+        boolean got = new RoutingTable().addExchange("x", List.of(new RoutingTable.Route(String.join(".", p), "c", 1, 0)))
+                .resolve("x", String.join(".", k)).isPresent();
         assertEquals(fits(p, k), got, p + " " + k);
     }
 
@@ -70,26 +70,26 @@
     @Property(tries = 2000, seed = "20261201")
     void eachPublishIsConfirmedOnceAndRightly(@ForAll @IntRange(min = 1, max = 60) int many, @ForAll long seed) {
         Random random = new Random(seed);
-        Confirms confirms = new Confirms();
+        PublisherConfirms confirms = new PublisherConfirms();
         Map<Long, Boolean> ends = new HashMap<>();
         TreeSet<Long> open = new TreeSet<>();
         TreeMap<Long, Boolean> publisher = new TreeMap<>();
         int published = 0;
         while (published < many || !open.isEmpty()) {
             if (published < many && random.nextBoolean()) {
-                long tag = confirms.published();
+                long tag = confirms.assignTag();
                 assertEquals(++published, tag);
                 open.add(tag);
             } else if (!open.isEmpty()) {
                 Long tag = new ArrayList<>(open).get(random.nextInt(open.size()));
                 boolean ack = random.nextInt(3) > 0;
-                assertTrue(confirms.end(tag, ack));
-                assertFalse(confirms.end(tag, !ack), "an end is final");
+                assertTrue(confirms.settle(tag, ack));
+                assertFalse(confirms.settle(tag, !ack), "an end is final");
                 open.remove(tag);
                 ends.put(tag, ack);
             }
             if (random.nextInt(4) == 0 || published == many && open.isEmpty()) {
-                for (Confirms.Confirm c : confirms.due()) {
+                for (PublisherConfirms.Confirm c : confirms.takeDue()) {
                     long from = c.multiple() ? 1 : c.tag();
                     for (long t = from; t <= c.tag(); t++) {
                         assertFalse(open.contains(t), "confirmed while open: " + t);
@@ -101,68 +101,70 @@
                     }
                 }
             }
-            assertEquals(open.size(), confirms.open());
+            assertEquals(open.size(), confirms.pending());
         }
         assertEquals(ends, publisher);
-        assertEquals(List.of(), confirms.due());
+        assertEquals(List.of(), confirms.takeDue());
     }
 
     @Test
     void whatEndsInOrderIsConfirmedByOne() {
-        Confirms confirms = new Confirms();
+        PublisherConfirms confirms = new PublisherConfirms();
         for (int i = 0; i < 5; i++) {
-            confirms.published();
+            confirms.assignTag();
         }
-        confirms.end(3, true);
-        assertEquals(List.of(new Confirms.Confirm(3, false, true)), confirms.due());
-        confirms.end(1, true);
-        confirms.end(2, true);
-        confirms.end(4, false);
-        assertEquals(List.of(new Confirms.Confirm(2, true, true), new Confirms.Confirm(4, false, false)), confirms.due());
-        assertFalse(confirms.end(9, true), "never published");
+        confirms.settle(3, true);
+        assertEquals(List.of(new PublisherConfirms.Confirm(3, false, true)), confirms.takeDue());
+        confirms.settle(1, true);
+        confirms.settle(2, true);
+        confirms.settle(4, false);
+        assertEquals(List.of(new PublisherConfirms.Confirm(2, true, true), new PublisherConfirms.Confirm(4, false, false)),
+                confirms.takeDue());
+        assertFalse(confirms.settle(9, true), "never published");
     }
 
     // ---- deliveries ----
 
     @Test
     void prefetchIsOfEachConsumerOrOfTheChannel() {
-        Deliveries<String> d = new Deliveries<>(4);
-        d.came("a");
+        UnackedDeliveries<String> d = new UnackedDeliveries<>(4);
+        d.addConsumer("a");
         d.qos(1, false);
-        d.came("b");
-        assertFalse(d.came("b"), "one of each tag");
-        assertEquals(List.of(4, 1), List.of(d.slots("a"), d.slots("b")), "qos holds for those that come after it");
+        d.addConsumer("b");
+        assertFalse(d.addConsumer("b"), "one of each tag");
+        assertEquals(List.of(4, 1), List.of(d.prefetchLimit("a"), d.prefetchLimit("b")),
+                "qos holds for those that come after it");
         d.deliver("b", "1", 0);
-        assertFalse(d.room("b"));
+        assertFalse(d.canDeliver("b"));
         assertThrows(IllegalStateException.class, () -> d.deliver("b", "2", 0));
         d.qos(2, true);
         d.deliver("a", "2", 0);
-        assertFalse(d.room("a"), "the channel's count");
+        assertFalse(d.canDeliver("a"), "the channel's count");
         d.qos(0, true);
-        assertTrue(d.room("a"));
+        assertTrue(d.canDeliver("a"));
         d.flow(false);
-        assertFalse(d.room("a"));
+        assertFalse(d.canDeliver("a"));
         d.flow(true);
         d.qos(99, false);
-        d.came("c");
-        assertEquals(4, d.slots("c"), "no more than the operator allows");
-        assertTrue(d.left("b") && !d.left("b") && !d.room("b"));
-        assertEquals("1", d.settle(1, false).orElseThrow().get(0).what(), "of one that was cancelled too");
+        d.addConsumer("c");
+        assertEquals(4, d.prefetchLimit("c"), "no more than the operator allows");
+        assertTrue(d.removeConsumer("b") && !d.removeConsumer("b") && !d.canDeliver("b"));
+        assertEquals("1", d.settle(1, false).orElseThrow().get(0).payload(), "of one that was cancelled too");
     }
 
     /** Against a plain list of what is out. */
     @Property(tries = 1000, seed = "20261201")
     void eachDeliveryIsSettledOnce(@ForAll long seed) {
         Random random = new Random(seed);
-        Deliveries<Long> d = new Deliveries<>(8);
-        d.came("a");
-        d.came("b");
+        UnackedDeliveries<Long> d = new UnackedDeliveries<>(8);
+        d.addConsumer("a");
+        d.addConsumer("b");
         TreeMap<Long, String> out = new TreeMap<>();
         long last = 0;
         for (int i = 0; i < 200; i++) {
             String to = random.nextBoolean() ? "a" : "b";
             long mine = out.values().stream().filter(to::equals).count();
-            assertEquals(mine < 8, d.room(to));
+            assertEquals(mine < 8, d.canDeliver(to));
             if (random.nextInt(3) > 0 && mine < 8) {
                 last++;
                 assertEquals(last, d.deliver(to, last, i));
@@ -174,13 +176,13 @@
             List<Long> expected = new ArrayList<>(multiple ? tag == 0 ? out.keySet() : out.headMap(tag, true).keySet()
                     : out.containsKey(tag) ? Set.of(tag) : Set.of());
             boolean known = tag <= last && (!expected.isEmpty() || multiple && tag == 0);
-            Optional<List<Deliveries.Out<Long>>> settled = d.settle(tag, multiple);
+            Optional<List<UnackedDeliveries.Delivery<Long>>> settled = d.settle(tag, multiple);
             assertEquals(known, settled.isPresent());
             if (known) {
-                assertEquals(expected, settled.get().stream().map(Deliveries.Out::what).toList());
+                assertEquals(expected, settled.get().stream().map(UnackedDeliveries.Delivery::payload).toList());
                 expected.forEach(out::remove);
             }
-            assertEquals(out.size(), d.out());
+            assertEquals(out.size(), d.count());
         }
     }
 
@@ -189,84 +191,84 @@
     @Test
     void aClientMayAskForLessAndNotForMore() {
         Tuning offer = new Tuning(64, 8192, 10_000);
-        assertEquals(Optional.of(offer), offer.chosen(0, 0, 10));
-        assertEquals(Optional.of(new Tuning(3, 4096, 0)), offer.chosen(3, 4096, 0));
-        assertEquals(Optional.empty(), offer.chosen(65, 0, 0));
-        assertEquals(Optional.empty(), offer.chosen(0, 8193, 0));
-        assertEquals(Optional.empty(), offer.chosen(0, 4095, 0), "the specification's least");
-        assertEquals(new Tuning(64, 8192, 5000), offer.answer(0, 0, 5));
-        assertEquals(new Tuning(2, 4096, 10_000), offer.answer(2, 4096, 0));
+        assertEquals(Optional.of(offer), offer.acceptTuneOk(0, 0, 10));
+        assertEquals(Optional.of(new Tuning(3, 4096, 0)), offer.acceptTuneOk(3, 4096, 0));
+        assertEquals(Optional.empty(), offer.acceptTuneOk(65, 0, 0));
+        assertEquals(Optional.empty(), offer.acceptTuneOk(0, 8193, 0));
+        assertEquals(Optional.empty(), offer.acceptTuneOk(0, 4095, 0), "the specification's least");
+        assertEquals(new Tuning(64, 8192, 5000), offer.tuneOkFor(0, 0, 5));
+        assertEquals(new Tuning(2, 4096, 10_000), offer.tuneOkFor(2, 4096, 0));
     }
 
     @Test
     void aPeerIsGoneAfterTwoHeartbeatsUnlessWeDoNotRead() {
-        Liveness alive = new Liveness(1000, 0);
-        assertEquals(Liveness.Due.NOTHING, alive.due(499, true));
-        assertEquals(Liveness.Due.BEAT, alive.due(500, true));
-        alive.said(500);
-        assertEquals(Liveness.Due.NOTHING, alive.due(999, true));
-        alive.said(1900);
-        assertEquals(Liveness.Due.NOTHING, alive.due(2000, true));
-        assertEquals(Liveness.Due.GONE, alive.due(2001, true));
-        assertEquals(Liveness.Due.BEAT, alive.due(5000, false), "it is not read: its silence is ours");
-        assertEquals(Liveness.Due.BEAT, alive.due(5900, true));
-        assertEquals(Liveness.Due.GONE, alive.due(6001, true));
-        assertEquals(Liveness.Due.NOTHING, new Liveness(0, 0).due(1e9, true));
+        HeartbeatMonitor alive = new HeartbeatMonitor(1000, 0);
+        assertEquals(HeartbeatMonitor.Action.NOTHING, alive.due(499, true));
+        assertEquals(HeartbeatMonitor.Action.SEND_HEARTBEAT, alive.due(500, true));
+        alive.sent(500);
+        assertEquals(HeartbeatMonitor.Action.NOTHING, alive.due(999, true));
+        alive.sent(1900);
+        assertEquals(HeartbeatMonitor.Action.NOTHING, alive.due(2000, true));
+        assertEquals(HeartbeatMonitor.Action.PEER_LOST, alive.due(2001, true));
+        assertEquals(HeartbeatMonitor.Action.SEND_HEARTBEAT, alive.due(5000, false), "it is not read: its silence is ours");
+        assertEquals(HeartbeatMonitor.Action.SEND_HEARTBEAT, alive.due(5900, true));
+        assertEquals(HeartbeatMonitor.Action.PEER_LOST, alive.due(6001, true));
+        assertEquals(HeartbeatMonitor.Action.NOTHING, new HeartbeatMonitor(0, 0).due(1e9, true));
     }
 
     @Test
     void framesComeInTheirOrder() {
-        Assembly a = new Assembly(10);
-        assertEquals(Assembly.Step.WHOLE, a.method(false));
-        assertEquals(Assembly.Step.UNEXPECTED, a.header(1));
-        assertEquals(Assembly.Step.UNEXPECTED, a.body(1));
-        assertEquals(Assembly.Step.MORE, a.method(true));
-        assertEquals(Assembly.Step.UNEXPECTED, a.method(false));
-        assertEquals(Assembly.Step.UNEXPECTED, a.body(1));
-        assertEquals(Assembly.Step.TOO_LARGE, a.header(11));
-        assertEquals(Assembly.Step.MORE, a.header(10));
-        assertEquals(Assembly.Step.MORE, a.body(0));
-        assertEquals(Assembly.Step.MORE, a.body(9));
-        assertEquals(Assembly.Step.OVERRUN, a.body(2));
-        assertEquals(Optional.of("1 octets of a body"), a.awaits());
-        assertEquals(Assembly.Step.WHOLE, a.body(1));
-        assertEquals(Assembly.Step.MORE, a.method(true));
-        assertEquals(Assembly.Step.WHOLE, a.header(0));
-        assertEquals(Optional.empty(), a.awaits());
+        ContentAssembler a = new ContentAssembler(10);
+        assertEquals(ContentAssembler.Step.COMPLETE, a.method(false));
+        assertEquals(ContentAssembler.Step.UNEXPECTED, a.header(1));
+        assertEquals(ContentAssembler.Step.UNEXPECTED, a.body(1));
+        assertEquals(ContentAssembler.Step.INCOMPLETE, a.method(true));
+        assertEquals(ContentAssembler.Step.UNEXPECTED, a.method(false));
+        assertEquals(ContentAssembler.Step.UNEXPECTED, a.body(1));
+        assertEquals(ContentAssembler.Step.TOO_LARGE, a.header(11));
+        assertEquals(ContentAssembler.Step.INCOMPLETE, a.header(10));
+        assertEquals(ContentAssembler.Step.INCOMPLETE, a.body(0));
+        assertEquals(ContentAssembler.Step.INCOMPLETE, a.body(9));
+        assertEquals(ContentAssembler.Step.OVERRUN, a.body(2));
+        assertEquals(Optional.of("1 octets of a body"), a.expected());
+        assertEquals(ContentAssembler.Step.COMPLETE, a.body(1));
+        assertEquals(ContentAssembler.Step.INCOMPLETE, a.method(true));
+        assertEquals(ContentAssembler.Step.COMPLETE, a.header(0));
+        assertEquals(Optional.empty(), a.expected());
     }
 
     // ---- logins ----
 
     @Test
     void wrongSecretsAreBoundedAndSlowedAndOthersUnharmed() {
-        LoginGuard guard = new LoginGuard(1, 8);
-        assertEquals(LoginGuard.Verdict.CHECK, guard.tries("eve"));
-        assertEquals(LoginGuard.Verdict.WAIT, guard.tries("eve"));
-        assertEquals(LoginGuard.Verdict.WAIT, guard.tries("eve"));
-        assertEquals(LoginGuard.Verdict.TURN_AWAY, guard.tries("eve"), "a quarter of the places at most");
-        assertEquals(LoginGuard.Verdict.WAIT, guard.tries("desk"));
-        assertTrue(guard.checked());
-        guard.waited("eve");
-        assertTrue(guard.checked());
-        guard.waited("eve");
-        assertTrue(guard.checked());
-        guard.waited("desk");
-        assertFalse(guard.checked());
-        assertEquals(LoginGuard.Verdict.CHECK, guard.tries("eve"));
+        LoginThrottle guard = new LoginThrottle(1, 8);
+        assertEquals(LoginThrottle.Verdict.CHECK, guard.admit("eve"));
+        assertEquals(LoginThrottle.Verdict.WAIT, guard.admit("eve"));
+        assertEquals(LoginThrottle.Verdict.WAIT, guard.admit("eve"));
+        assertEquals(LoginThrottle.Verdict.REJECT, guard.admit("eve"), "a quarter of the places at most");
+        assertEquals(LoginThrottle.Verdict.WAIT, guard.admit("desk"));
+        assertTrue(guard.checkFinished());
+        guard.startQueued("eve");
+        assertTrue(guard.checkFinished());
+        guard.startQueued("eve");
+        assertTrue(guard.checkFinished());
+        guard.startQueued("desk");
+        assertFalse(guard.checkFinished());
+        assertEquals(LoginThrottle.Verdict.CHECK, guard.admit("eve"));
         List<Double> delays = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            delays.add(guard.wrong("eve", i));
+            delays.add(guard.recordFailure("eve", i));
         }
         assertEquals(List.of(250.0, 500.0, 1000.0, 2000.0, 4000.0, 8000.0, 8000.0, 8000.0), delays);
-        assertEquals(250, guard.wrong("desk", 8), "each name by itself");
-        assertEquals(250, guard.wrong("eve", 70_000), "after a minute it is forgotten");
+        assertEquals(250, guard.recordFailure("desk", 8), "each name by itself");
+        assertEquals(250, guard.recordFailure("eve", 70_000), "after a minute it is forgotten");
         for (int i = 10; i < 32; i++) {
-            assertTrue(guard.wrong("eve", 70_000) > 0);
+            assertTrue(guard.recordFailure("eve", 70_000) > 0);
         }
-        assertEquals(0, guard.wrong("desk", 70_000), "so many are held back at once, no more");
-        guard.answered();
-        guard.answered();
-        assertTrue(guard.wrong("desk", 70_000) > 0);
+        assertEquals(0, guard.recordFailure("desk", 70_000), "so many are held back at once, no more");
+        guard.failureAnswered();
+        guard.failureAnswered();
+        assertTrue(guard.recordFailure("desk", 70_000) > 0);
     }
 
     // ---- who is read ----
@@ -274,13 +276,13 @@
     @Test
     void aConnectionIsPausedAtItsMarkAndReadAgainAtHalfOfIt() {
         Backpressure p = new Backpressure(new Backpressure.Load(4, 1000), new Backpressure.Load(100, 10_000));
-        assertTrue(p.changed(1, 3, 30));
-        assertFalse(p.changed(1, 1, 10));
-        assertTrue(p.reads(2));
-        assertFalse(p.changed(1, -1, -10), "not at once");
-        assertTrue(p.changed(1, -2, -20));
-        assertFalse(p.changed(2, 1, 1000), "octets count too");
-        p.gone(2);
+        assertTrue(p.addLoad(1, 3, 30));
+        assertFalse(p.addLoad(1, 1, 10));
+        assertTrue(p.mayRead(2));
+        assertFalse(p.addLoad(1, -1, -10), "not at once");
+        assertTrue(p.addLoad(1, -2, -20));
+        assertFalse(p.addLoad(2, 1, 1000), "octets count too");
+        p.connectionClosed(2);
         assertEquals(Set.of(), p.paused());
     }
 
@@ -294,19 +296,19 @@
         int all = 0;
         for (int i = 0; i < 2000; i++) {
             int who = random.nextInt(has.length);
-            if (random.nextInt(5) < 3 && p.reads(who)) {
-                p.changed(who, 1, 1);
+            if (random.nextInt(5) < 3 && p.mayRead(who)) {
+                p.addLoad(who, 1, 1);
                 has[who]++;
                 all++;
             } else if (has[who] > 0) {
-                p.changed(who, -1, -1);
+                p.addLoad(who, -1, -1);
                 has[who]--;
                 all--;
             }
             assertTrue(all <= 2 * bound, "over the bound: " + all);
             assertTrue(has[who] <= 20);
             if (has[who] == 0) {
-                assertTrue(p.reads(who), "one that has nothing is read");
+                assertTrue(p.mayRead(who), "one that has nothing is read");
             }
         }
     }
@@ -314,50 +316,54 @@
     @Test
     void bodiesThatHaveBegunAreBoundedByThemselves() {
         Backpressure p = new Backpressure(new Backpressure.Load(4, 1000), new Backpressure.Load(100, 1500));
-        assertTrue(p.begins(1, 600));
-        assertFalse(p.begins(1, 600));
-        assertTrue(p.begins(2, 900));
-        assertFalse(p.begins(3, 1));
-        p.whole(1, 600);
-        assertTrue(p.begins(3, 600));
-        p.gone(2);
-        assertTrue(p.begins(1, 900));
+        assertTrue(p.tryStartBody(1, 600));
+        assertFalse(p.tryStartBody(1, 600));
+        assertTrue(p.tryStartBody(2, 900));
+        assertFalse(p.tryStartBody(3, 1));
+        p.bodyDone(1, 600);
+        assertTrue(p.tryStartBody(3, 600));
+        p.connectionClosed(2);
+        assertTrue(p.tryStartBody(1, 900));
     }
 
     // ---- consumers as endpoints ----
 
     @Test
     void oneThatReturnsUnderItsNameIsTheSameEndpoint() {
-        Consumers c = new Consumers(1000);
-        String name = Consumers.name("q", "u", "t");
-        assertTrue(c.mayCome(name, "q", false));
-        assertEquals(List.of(new Consumers.Entry("q/u/t", "q", true, false)), c.came(name, "q", false, 0));
-        assertFalse(c.mayCome(name, "q", false), "each name once");
-        assertFalse(c.mayCome("q/u/x", "q", true), "exclusive, beside another");
-        assertTrue(c.mayCome("q/u/x", "q", false) && c.here("q") == 1);
-        assertEquals(List.of(new Consumers.Entry("q/u/t", "q", false, false)), c.left(name, 100));
-        assertEquals(1100, c.nextMs().orElseThrow());
-        assertEquals(List.of(), c.forgotten(1099));
-        assertTrue(c.mayCome(name, "q", true));
-        c.came(name, "q", true, 0);
-        assertFalse(c.mayCome("q/u/x", "q", false), "beside an exclusive one");
-        assertEquals(List.of(), c.forgotten(5000), "it is here");
-        c.left(name, 5000);
-        assertEquals(List.of(new Consumers.Entry("q/u/t", "q", false, true)), c.forgotten(6000));
-        assertTrue(c.nextMs().isEmpty() && c.here("q") == 0);
+        ConsumerRegistry c = new ConsumerRegistry(1000);
+        String name = ConsumerRegistry.endpointName("q", "u", "t");
+        assertTrue(c.canAdd(name, "q", false));
+        assertEquals(List.of(new ConsumerRegistry.EndpointUpdate("q/u/t", "q", true, false)), c.add(name, "q", false, 0));
+        assertFalse(c.canAdd(name, "q", false), "each name once");
+        assertFalse(c.canAdd("q/u/x", "q", true), "exclusive, beside another");
+        assertTrue(c.canAdd("q/u/x", "q", false) && c.count("q") == 1);
+        assertEquals(List.of(new ConsumerRegistry.EndpointUpdate("q/u/t", "q", false, false)), c.remove(name, 100));
+        assertEquals(1100, c.nextExpiryMs().orElseThrow());
+        assertEquals(List.of(), c.removeExpired(1099));
+        assertTrue(c.canAdd(name, "q", true));
+        c.add(name, "q", true, 0);
+        assertFalse(c.canAdd("q/u/x", "q", false), "beside an exclusive one");
+        assertEquals(List.of(), c.removeExpired(5000), "it is here");
+        c.remove(name, 5000);
+        assertEquals(List.of(new ConsumerRegistry.EndpointUpdate("q/u/t", "q", false, true)), c.removeExpired(6000));
+        assertTrue(c.nextExpiryMs().isEmpty() && c.count("q") == 0);
     }
 
     @Test
     void thoseOfALowerPriorityStandBy() {
-        Consumers c = new Consumers(1000);
-        c.came("low", "q", false, 0);
-        assertEquals(List.of(new Consumers.Entry("low", "q", false, false), new Consumers.Entry("high", "q", true, false)),
-                c.came("high", "q", false, 5));
-        assertEquals(List.of(new Consumers.Entry("lower", "q", false, false)), c.came("lower", "q", false, -1));
-        assertEquals(List.of(new Consumers.Entry("other", "p", true, false)), c.came("other", "p", false, -9), "of its queue");
-        assertEquals(List.of(new Consumers.Entry("low", "q", true, false), new Consumers.Entry("high", "q", false, false)),
-                c.left("high", 10));
-        assertEquals(List.of(new Consumers.Entry("low", "q", false, false), new Consumers.Entry("high", "q", true, false)),
-                c.came("high", "q", false, 5));
+        ConsumerRegistry c = new ConsumerRegistry(1000);
+        c.add("low", "q", false, 0);
+        assertEquals(List.of(new ConsumerRegistry.EndpointUpdate("low", "q", false, false),
+                new ConsumerRegistry.EndpointUpdate("high", "q", true, false)),
+                c.add("high", "q", false, 5));
+        assertEquals(List.of(new ConsumerRegistry.EndpointUpdate("lower", "q", false, false)), c.add("lower", "q", false, -1));
+        assertEquals(List.of(new ConsumerRegistry.EndpointUpdate("other", "p", true, false)),
+                c.add("other", "p", false, -9), "of its queue");
+        assertEquals(List.of(new ConsumerRegistry.EndpointUpdate("low", "q", true, false),
+                new ConsumerRegistry.EndpointUpdate("high", "q", false, false)),
+                c.remove("high", 10));
+        assertEquals(List.of(new ConsumerRegistry.EndpointUpdate("low", "q", false, false),
+                new ConsumerRegistry.EndpointUpdate("high", "q", true, false)),
+                c.add("high", "q", false, 5));
     }
 }
--- a/src/test/java/slipfield/amqp/server/ServerFuzzTest.java
+++ b/src/test/java/slipfield/amqp/server/ServerFuzzTest.java
@@ -209,15 +209,15 @@
             assertEquals(0, server.busy());
             long quarter = config.limits().all().octets() / 4;
             for (int nobody = -4; nobody < 0; nobody++) {
-                assertTrue(server.pressure().begins(nobody, quarter), "a body is counted for a connection that is gone");
+                assertTrue(server.pressure().tryStartBody(nobody, quarter), "a body is counted for a connection that is gone");
             }
             for (int nobody = -4; nobody < 0; nobody++) {
-                server.pressure().whole(nobody, quarter);
-                assertTrue(server.pressure().changed(nobody, config.limits().all().messages() / 4 - 1, 1)
+                server.pressure().bodyDone(nobody, quarter);
+                assertTrue(server.pressure().addLoad(nobody, config.limits().all().messages() / 4 - 1, 1)
                         && server.pressure().paused().isEmpty(), "a publish is counted for a connection that is gone");
             }
             for (int nobody = -4; nobody < 0; nobody++) {
-                server.pressure().gone(nobody);
+                server.pressure().connectionClosed(nobody);
             }
             assertEquals(0, counting.metric().heapArenas().get(0).numActiveAllocations(), "buffers that were not given back");
         }
--- a/src/test/java/slipfield/client/AnswersTest.java
+++ b/src/test/java/slipfield/client/AnswersTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import slipfield.client.decide.Heard;
+import slipfield.client.decide.SubmissionReply;
 
 /** What is read of a sender's answer, whatever stands in it. */
 class AnswersTest {
@@ -37,24 +37,24 @@
         "'Fri, 01 Jan 9999 00:00:00 GMT', 1000000000000", "1;2, 0"})
     void aWaitIsReadOrTellsNothing(String text, long ms) {
         assertEquals(ms, Answers.waitMs(text, WALL_MS));
-        Heard heard = Answers.heard(answer(503, "Retry-After", text), WALL_MS);
-        assertEquals(Heard.Kind.REFUSED, heard.kind());
-        assertEquals(ms, heard.waitMs());
+        SubmissionReply heard = Answers.heard(answer(503, "Retry-After", text), WALL_MS);
+        assertEquals(SubmissionReply.Kind.REFUSED, heard.kind());
+        assertEquals(ms, heard.retryAfterMs());
     }
 
     @ParameterizedTest
-    @CsvSource({"202, TAKEN", "200, TAKEN", "429, REFUSED", "503, REFUSED", "400, REJECTED", "404, REJECTED", "405, REJECTED",
-        "413, REJECTED", "408, UNSENT", "409, LOST", "500, LOST", "504, LOST", "302, LOST", "201, LOST"})
-    void aStatusProvesWhatTheProtocolSays(int status, Heard.Kind kind) {
+    @CsvSource({"202, ACCEPTED", "200, ACCEPTED", "429, REFUSED", "503, REFUSED", "400, REJECTED", "404, REJECTED",
+        "405, REJECTED", "413, REJECTED", "408, UNSENT", "409, LOST", "500, LOST", "504, LOST", "302, LOST", "201, LOST"})
+    void aStatusProvesWhatTheProtocolSays(int status, SubmissionReply.Kind kind) {
         assertEquals(kind, Answers.heard(answer(status), WALL_MS).kind());
     }
 
     @Test
     void aScopeThatIsNotKnownIsTheSenders() {
-        assertEquals(Heard.Scope.TENANT, Answers.heard(answer(503, "X-Wait-Scope", "Tenant"), 0).scope());
-        assertEquals(Heard.Scope.DESTINATION, Answers.heard(answer(503, "X-Wait-Scope", "destination"), 0).scope());
-        assertEquals(Heard.Scope.SENDER, Answers.heard(answer(503, "X-Wait-Scope", "galaxy"), 0).scope());
-        assertEquals(Heard.Scope.SENDER, Answers.heard(answer(503), 0).scope());
+        assertEquals(SubmissionReply.Scope.TENANT, Answers.heard(answer(503, "X-Wait-Scope", "Tenant"), 0).scope());
+        assertEquals(SubmissionReply.Scope.DESTINATION, Answers.heard(answer(503, "X-Wait-Scope", "destination"), 0).scope());
+        assertEquals(SubmissionReply.Scope.SENDER, Answers.heard(answer(503, "X-Wait-Scope", "galaxy"), 0).scope());
+        assertEquals(SubmissionReply.Scope.SENDER, Answers.heard(answer(503), 0).scope());
         assertEquals("503 reason", Answers.heard(answer(503), 0).why());
     }
 
--- a/src/test/java/slipfield/client/decide/CourierSimulationTest.java
+++ b/src/test/java/slipfield/client/decide/OrderTrackerSimulationTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** 10,000 seeds of failing senders: no hand-in outside class, window, wait or time, and one true end each. */
-class CourierSimulationTest {
+class OrderTrackerSimulationTest {
     private static final int SEEDS = 10_000;
 
     @Test
@@ -18,7 +18,7 @@
         int sends = 0;
         int resends = 0;
         for (long seed = 0; seed < SEEDS; seed++) {
-            World world = new World(seed, World.Broken.NOTHING, seed % 2 == 0);
+            SenderSimulation world = new SenderSimulation(seed, SenderSimulation.Defect.NOTHING, seed % 2 == 0);
             assertEquals(List.of(), world.play(), "seed " + seed);
             sends += world.sends;
             resends += world.resends;
@@ -28,13 +28,13 @@
 
     /** A checker that finds nothing in these finds nothing at all. */
     @ParameterizedTest
-    @EnumSource(value = World.Broken.class, names = "NOTHING", mode = EnumSource.Mode.EXCLUDE)
-    void aClientThatIsBrokenOnPurposeIsFound(World.Broken broken) {
+    @EnumSource(value = SenderSimulation.Defect.class, names = "NOTHING", mode = EnumSource.Mode.EXCLUDE)
+    void aClientThatIsBrokenOnPurposeIsFound(SenderSimulation.Defect broken) {
         boolean found = false;
         for (long seed = 0; seed < 300 && !found; seed++) {
-            found = !new World(seed, broken, seed % 2 == 0).play().isEmpty();
+            found = !new SenderSimulation(seed, broken, seed % 2 == 0).play().isEmpty();
         }
         assertTrue(found, broken + " was not found");
-        assertFalse(broken == World.Broken.NOTHING);
+        assertFalse(broken == SenderSimulation.Defect.NOTHING);
     }
 }
--- a/src/test/java/slipfield/client/decide/PartsTest.java
+++ b/src/test/java/slipfield/client/decide/OrderTrackerTest.java
@@ -12,11 +12,11 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The parts of a courier, and what it makes of senders that fail. */
-class PartsTest {
+/** The parts of a tracker, and what it makes of senders that fail. */
+class OrderTrackerTest {
     /** Senders that are always connected, and hand-ins that the test answers. */
-    private static final class Desk implements Courier.Actions {
-        private final Courier courier;
+    private static final class Desk implements OrderTracker.Actions {
+        private final OrderTracker tracker;
         private final Map<Long, End> ends = new HashMap<>();
         private final List<String> sentTo = new ArrayList<>();
         private long number;
@@ -24,17 +24,17 @@
         private int lastAttempt;
 
         Desk(Rules rules, String... senders) {
-            courier = new Courier(rules, new SplittableRandom(5), 0, this);
-            courier.senders(0, List.of(senders));
+            tracker = new OrderTracker(rules, new SplittableRandom(5), 0, this);
+            tracker.updateSenders(0, List.of(senders));
         }
 
         long submit(long now, long withinMs) {
-            courier.submit(now, number, ClassRule.unsafe(), "7", "t", withinMs);
+            tracker.submit(now, number, ClassRule.unsafe(), "7", "t", withinMs);
             return number++;
         }
 
-        void answer(long now, Heard heard) {
-            courier.heard(now, last, lastAttempt, heard, true, false);
+        void answer(long now, SubmissionReply heard) {
+            tracker.onReply(now, last, lastAttempt, heard, true, false);
         }
 
         private String at() {
@@ -42,7 +42,7 @@
         }
 
         @Override
-        public void handIn(long order, int attempt, String sender, long budgetMs, Courier.Again again) {
+        public void send(long order, int attempt, String sender, long budgetMs, OrderTracker.PreviousSubmission again) {
             last = order;
             lastAttempt = attempt;
             sentTo.add(sender);
@@ -53,11 +53,11 @@
         }
 
         @Override
-        public void connect(String sender, boolean trial) {
+        public void connect(String sender, boolean probe) {
         }
 
         @Override
-        public void end(long order, End end) {
+        public void complete(long order, End end) {
             ends.put(order, end);
         }
     }
@@ -83,7 +83,7 @@
 
     @Test
     void theLevelFindsWhatASenderAnswersQuickly() {
-        Level level = new Level(2, 100, 0);
+        ConcurrencyLimit level = new ConcurrencyLimit(2, 100, 0);
         assertEquals(8, level.level());
         long now = 0;
         // A sender that takes 20 at once: each more adds to the time that its answer takes.
@@ -102,7 +102,7 @@
 
     @Test
     void oneFaultCutsTheLevelOnce() {
-        Level level = new Level(2, 100, 0);
+        ConcurrencyLimit level = new ConcurrencyLimit(2, 100, 0);
         for (int i = 0; i < 50; i++) {
             level.pushedBack(1000);
         }
@@ -115,7 +115,7 @@
         Desk desk = new Desk(rules, "bad", "good");
         for (String sender : List.of("bad", "good")) {
             for (int i = 0; i < 8; i++) {
-                desk.courier.connected(0, sender);
+                desk.tracker.onConnected(0, sender);
             }
         }
         long now = 10_000;
@@ -123,29 +123,29 @@
         while (lost < rules.ejectAfter()) {
             desk.submit(now, 20_000);
             boolean bad = desk.at().equals("bad");
-            desk.answer(now, bad ? Heard.lost("") : Heard.taken());
+            desk.answer(now, bad ? SubmissionReply.lost("") : SubmissionReply.accepted());
             lost += bad ? 1 : 0;
         }
         desk.sentTo.clear();
         for (int i = 0; i < 200; i++) {
             desk.submit(now + 10, 20_000);
-            desk.answer(now + 10, Heard.taken());
+            desk.answer(now + 10, SubmissionReply.accepted());
         }
         for (int i = 0; i < 9; i++) {
             desk.submit(now + 20, 20_000);
         }
         assertFalse(desk.sentTo.contains("bad"), "it is left alone, though the other has no connection free");
-        desk.courier.close(now + 30);
+        desk.tracker.close(now + 30);
     }
 
     @Test
     void aSenderThatComesBackGetsItsPartSlowly() {
         Desk desk = new Desk(Rules.DEFAULT.atMost(64, 64), "fresh", "old");
         for (int i = 0; i < 20; i++) {
-            desk.courier.connected(0, "old");
+            desk.tracker.onConnected(0, "old");
         }
         for (int i = 0; i < 20; i++) {
-            desk.courier.connected(100_000, "fresh");
+            desk.tracker.onConnected(100_000, "fresh");
         }
         for (int i = 0; i < 12; i++) {
             desk.submit(100_001, 20_000);
@@ -157,11 +157,11 @@
     void withEverySenderLeftAloneOneIsAskedStill() {
         Desk desk = new Desk(Rules.DEFAULT, "only");
         for (int i = 0; i < 30; i++) {
-            desk.courier.connected(0, "only");
+            desk.tracker.onConnected(0, "only");
         }
         for (int i = 0; i < 10; i++) {
             desk.submit(10, 20_000);
-            desk.answer(10, Heard.lost(""));
+            desk.answer(10, SubmissionReply.lost(""));
         }
         assertEquals(10, desk.sentTo.size());
     }
@@ -169,12 +169,12 @@
     @Test
     void whatASenderHasIsNotCalledOff() {
         Desk desk = new Desk(Rules.DEFAULT.following(true), "s");
-        desk.courier.connected(0, "s");
+        desk.tracker.onConnected(0, "s");
         long taken = desk.submit(0, 20_000);
-        desk.answer(5, Heard.taken());
-        assertFalse(desk.courier.cancel(6, taken));
+        desk.answer(5, SubmissionReply.accepted());
+        assertFalse(desk.tracker.cancel(6, taken));
         assertTrue(desk.ends.isEmpty());
-        desk.courier.ended(7, taken, 1, new End.Delivered());
+        desk.tracker.onFinalAnswer(7, taken, 1, new End.Delivered());
         assertInstanceOf(End.Delivered.class, desk.ends.get(taken));
     }
 
@@ -183,9 +183,9 @@
         Desk desk = new Desk(Rules.DEFAULT.atMost(1, 1), "s");
         long late = desk.submit(0, 20_000);
         long soon = desk.submit(0, 5000);
-        desk.courier.connected(10, "s");
+        desk.tracker.onConnected(10, "s");
         assertEquals(soon, desk.last);
-        desk.answer(20, Heard.taken());
+        desk.answer(20, SubmissionReply.accepted());
         assertEquals(late, desk.last);
     }
 
@@ -203,13 +203,13 @@
     @Test
     void aDeliveryThatIsToldBeforeItsAnswerEndsTheOrderAndFreesTheConnectionLater() {
         Desk desk = new Desk(Rules.DEFAULT.following(true).atMost(1, 1), "s");
-        desk.courier.connected(0, "s");
+        desk.tracker.onConnected(0, "s");
         long first = desk.submit(0, 20_000);
-        desk.courier.ended(5, first, 1, new End.Delivered());
+        desk.tracker.onFinalAnswer(5, first, 1, new End.Delivered());
         assertInstanceOf(End.Delivered.class, desk.ends.get(first));
         long second = desk.submit(6, 20_000);
         assertEquals(first, desk.last, "the connection still waits for its answer");
-        desk.courier.heard(7, first, 1, Heard.taken(), true, false);
+        desk.tracker.onReply(7, first, 1, SubmissionReply.accepted(), true, false);
         assertEquals(second, desk.last);
         assertEquals(1, desk.ends.size());
     }
--- a/src/test/java/slipfield/client/decide/SpreadTest.java
+++ b/src/test/java/slipfield/client/decide/ReconnectBackoffTest.java
@@ -8,18 +8,18 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** When a thousand clients connect anew: one courier each, on one clock, and a sender that dies and comes back. */
-class SpreadTest {
+/** When a thousand clients connect anew: one tracker each, on one clock, and a sender that dies and comes back. */
+class ReconnectBackoffTest {
     private static final int CLIENTS = 1000;
     private static final long WINDOW_MS = 5000;
     private static final Rules RULES = Rules.DEFAULT.spreadOver(1000, 0.02).atMost(1, 1);
 
     /** The connects of one client are all that is noted. */
-    private static final class Connects implements Courier.Actions {
+    private static final class Connects implements OrderTracker.Actions {
         private int asked;
 
         @Override
-        public void handIn(long order, int attempt, String sender, long budgetMs, Courier.Again again) {
+        public void send(long order, int attempt, String sender, long budgetMs, OrderTracker.PreviousSubmission again) {
         }
 
         @Override
@@ -27,12 +27,12 @@
         }
 
         @Override
-        public void connect(String sender, boolean trial) {
+        public void connect(String sender, boolean probe) {
             asked++;
         }
 
         @Override
-        public void end(long order, End end) {
+        public void complete(long order, End end) {
         }
     }
 
@@ -41,19 +41,19 @@
         List<Long> at = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
             Connects connects = new Connects();
-            Courier courier = new Courier(RULES, new SplittableRandom(i), 0, connects);
-            courier.senders(0, List.of("s"));
+            OrderTracker tracker = new OrderTracker(RULES, new SplittableRandom(i), 0, connects);
+            tracker.updateSenders(0, List.of("s"));
             assertEquals(1, connects.asked, "the first connection of a life waits for nothing");
-            courier.connected(1, "s");
-            courier.window(1, "s", toldMs);
-            courier.closed(1000, "s", false);
+            tracker.onConnected(1, "s");
+            tracker.onReconnectWindow(1, "s", toldMs);
+            tracker.onConnectionClosed(1000, "s", false);
             // One that drew nothing has connected already.
-            long next = connects.asked == 2 ? 1000 : courier.nextMs();
+            long next = connects.asked == 2 ? 1000 : tracker.nextTickMs();
             if (next > 1000) {
-                courier.tick(next - 1);
+                tracker.tick(next - 1);
                 assertEquals(1, connects.asked);
             }
-            courier.tick(next);
+            tracker.tick(next);
             assertEquals(2, connects.asked);
             at.add(next - 1000);
         }
@@ -80,16 +80,16 @@
     @Test
     void connectsThatFailComeEverMoreSeldomAndNeverStop() {
         Connects connects = new Connects();
-        Courier courier = new Courier(RULES, new SplittableRandom(3), 0, connects);
-        courier.senders(0, List.of("s"));
+        OrderTracker tracker = new OrderTracker(RULES, new SplittableRandom(3), 0, connects);
+        tracker.updateSenders(0, List.of("s"));
         long now = 0;
         for (int i = 1; i < 40; i++) {
             assertEquals(i, connects.asked);
-            courier.connectFailed(now, "s");
-            long next = courier.nextMs();
+            tracker.onConnectFailed(now, "s");
+            long next = tracker.nextTickMs();
             assertTrue(next - now <= RULES.mostSpreadMs(), "after " + (next - now));
             now = next;
-            courier.tick(now);
+            tracker.tick(now);
         }
         assertTrue(now > 10 * RULES.mostSpreadMs() / 2, "in " + now);
     }
@@ -102,19 +102,20 @@
     @Test
     void aPoolRefillsOneByOneOverTheWindow() {
         Connects connects = new Connects();
-        Courier courier = new Courier(Rules.DEFAULT.spreadOver(1000, 0).atMost(100, 10), new SplittableRandom(1), 0, connects);
-        courier.senders(0, List.of("s"));
-        courier.connected(0, "s");
+        OrderTracker tracker = new OrderTracker(Rules.DEFAULT.spreadOver(1000, 0).atMost(100, 10), new SplittableRandom(1), 0,
+                connects);
+        tracker.updateSenders(0, List.of("s"));
+        tracker.onConnected(0, "s");
         for (int i = 0; i < 50; i++) {
-            courier.submit(0, i, ClassRule.safe(), "7", "t", 60_000);
+            tracker.submit(0, i, ClassRule.safe(), "7", "t", 60_000);
         }
         assertEquals(1, connects.asked, "all that wait do not open a connection each");
         for (int i = 1; i <= 9; i++) {
-            courier.tick(i * 100 - 1);
+            tracker.tick(i * 100 - 1);
             assertEquals(i, connects.asked);
-            courier.tick(i * 100);
+            tracker.tick(i * 100);
             assertEquals(i + 1, connects.asked);
-            courier.connected(i * 100, "s");
+            tracker.onConnected(i * 100, "s");
         }
     }
 }
--- a/src/test/java/slipfield/client/decide/World.java
+++ b/src/test/java/slipfield/client/decide/SenderSimulation.java
@@ -10,20 +10,20 @@
 import java.util.SplittableRandom;
 
 /**
- * Senders and venues that fail by a seed, and a checker of what a courier does among them. What the checker asks for is
- * written from the rules anew, by what really happened here; nothing of it is read from the courier.
+ * Senders and venues that fail by a seed, and a checker of what a tracker does among them. What the checker asks for is
+ * written from the rules anew, by what really happened here; nothing of it is read from the tracker.
  */
-final class World implements Courier.Actions {
-    /** What a courier is broken by, to see that the checker finds it. */
-    enum Broken { NOTHING, UNSAFE_AS_SAFE, WINDOW_TOO_LONG, WHOLE_TIME_AS_BUDGET, WAITS_IGNORED, LOST_AS_REFUSED }
+final class SenderSimulation implements OrderTracker.Actions {
+    /** What a tracker is broken by, to see that the checker finds it. */
+    enum Defect { NOTHING, UNSAFE_AS_SAFE, WINDOW_TOO_LONG, WHOLE_TIME_AS_BUDGET, WAITS_IGNORED, LOST_AS_REFUSED }
 
     private static final long WINDOW_MS = 10_000;
     private static final long LAST_MS = 90_000;
 
     private final SplittableRandom random;
-    private final Broken broken;
+    private final Defect broken;
     private final Rules rules;
-    private final Courier courier;
+    private final OrderTracker tracker;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final Map<Long, Order> orders = new HashMap<>();
     private final Map<String, Node> nodes = new HashMap<>();
@@ -75,12 +75,12 @@
         }
     }
 
-    World(long seed, Broken broken, boolean follows) {
+    SenderSimulation(long seed, Defect broken, boolean follows) {
         this.random = new SplittableRandom(seed);
         this.broken = broken;
         this.rules = Rules.DEFAULT.following(follows).spreadOver(200 + random.nextInt(1500), 0.1)
                 .atMost(4 + random.nextInt(30), 1 + random.nextInt(8));
-        this.courier = new Courier(rules, random.split(), 0, this);
+        this.tracker = new OrderTracker(rules, random.split(), 0, this);
         int count = 1 + random.nextInt(3);
         for (int i = 0; i < count; i++) {
             nodes.put("s" + i, new Node("s" + i));
@@ -89,7 +89,7 @@
 
     /** Plays it; returns what was done against the rules. */
     List<String> play() {
-        courier.senders(0, List.copyOf(nodes.keySet()));
+        tracker.updateSenders(0, List.copyOf(nodes.keySet()));
         int many = 5 + random.nextInt(40);
         for (int i = 0; i < many; i++) {
             long number = i;
@@ -99,24 +99,24 @@
             trouble(node);
         }
         if (random.nextInt(4) == 0) {
-            in(random.nextInt(30_000), () -> courier.senders(now, List.of()));
+            in(random.nextInt(30_000), () -> tracker.updateSenders(now, List.of()));
         }
         if (random.nextInt(10) == 0) {
-            in(random.nextInt(30_000), () -> courier.close(now));
+            in(random.nextInt(30_000), () -> tracker.close(now));
         }
         while (now < LAST_MS && faults.isEmpty()) {
-            long next = Math.max(now, Math.min(courier.nextMs(), events.isEmpty() ? Long.MAX_VALUE : events.peek().at));
+            long next = Math.max(now, Math.min(tracker.nextTickMs(), events.isEmpty() ? Long.MAX_VALUE : events.peek().at));
             if (next > LAST_MS) {
                 break;
             }
             now = next;
-            courier.tick(now);
+            tracker.tick(now);
             while (!events.isEmpty() && events.peek().at <= now) {
                 events.poll().what.run();
             }
-            courier.tick(told());
-            courier.tick(now);
-            fault(courier.nextMs() <= now, "the courier has something to do at once, and does it not");
+            tracker.tick(told());
+            tracker.tick(now);
+            fault(tracker.nextTickMs() <= now, "the tracker has something to do at once, and does it not");
         }
         orders.forEach((number, o) -> {
             if (!o.ended) {
@@ -149,7 +149,7 @@
                     int open = node.connections;
                     node.connections = 0;
                     for (int i = 0; i < open; i++) {
-                        courier.closed(told(), node.name, random.nextInt(5) == 0);
+                        tracker.onConnectionClosed(told(), node.name, random.nextInt(5) == 0);
                     }
                 }
             });
@@ -168,15 +168,15 @@
         orders.put(number, order);
         ClassRule rule = switch (effect) {
             case SAFE -> ClassRule.safe();
-            case UNSAFE -> broken == Broken.UNSAFE_AS_SAFE ? ClassRule.safe() : ClassRule.unsafe();
-            case KEYED -> broken == Broken.WINDOW_TOO_LONG ? ClassRule.keyed(4 * WINDOW_MS)
-                    : broken == Broken.WHOLE_TIME_AS_BUDGET ? ClassRule.safe()
+            case UNSAFE -> broken == Defect.UNSAFE_AS_SAFE ? ClassRule.safe() : ClassRule.unsafe();
+            case KEYED -> broken == Defect.WINDOW_TOO_LONG ? ClassRule.keyed(4 * WINDOW_MS)
+                    : broken == Defect.WHOLE_TIME_AS_BUDGET ? ClassRule.safe()
                     : new ClassRule(Effect.KEYED, WINDOW_MS, random.nextInt(4) > 0);
         };
-        courier.submit(told(), number, rule, order.destination, order.tenant, within);
+        tracker.submit(told(), number, rule, order.destination, order.tenant, within);
         if (random.nextInt(10) == 0) {
             in(random.nextInt(3000), () -> {
-                if (!order.ended && courier.cancel(now, number)) {
+                if (!order.ended && tracker.cancel(now, number)) {
                     order.cancelled = true;
                 }
             });
@@ -184,7 +184,7 @@
     }
 
     @Override
-    public void handIn(long number, int attempt, String sender, long budgetMs, Courier.Again again) {
+    public void send(long number, int attempt, String sender, long budgetMs, OrderTracker.PreviousSubmission again) {
         sends++;
         Order o = orders.get(number);
         fault(o.ended, number + " is handed in after its end");
@@ -199,7 +199,8 @@
             fault(o.effect == Effect.UNSAFE, number + " is unsafe, may have run, and is handed in again");
             long first = o.mayHaveRun.values().stream().mapToLong(Long::longValue).min().orElseThrow();
             fault(o.effect == Effect.KEYED && now + budgetMs > first + WINDOW_MS, number + " is handed in past its window");
-            fault(again != Courier.Again.UNHEARD && again != Courier.Again.REFUSED, number + " is not marked");
+            fault(again != OrderTracker.PreviousSubmission.UNANSWERED
+                    && again != OrderTracker.PreviousSubmission.REFUSED, number + " is not marked");
         }
         o.out = attempt;
         o.mayHaveRun.put(attempt, now);
@@ -207,7 +208,7 @@
         long there = 1 + random.nextInt(30);
         int luck = random.nextInt(100);
         if (!node.up) {
-            in(there, () -> answer(number, attempt, sender, Heard.lost("reset"), false));
+            in(there, () -> answer(number, attempt, sender, SubmissionReply.lost("reset"), false));
         } else if (node.silent) {
             if (luck < 30) {
                 in(there, () -> take(number, attempt, budgetMs));
@@ -215,10 +216,10 @@
         } else if (luck < 55) {
             in(there, () -> {
                 take(number, attempt, budgetMs);
-                answer(number, attempt, sender, Heard.taken(), random.nextInt(10) > 0);
+                answer(number, attempt, sender, SubmissionReply.accepted(), random.nextInt(10) > 0);
             });
         } else if (luck < 75) {
-            Heard.Scope scope = Heard.Scope.values()[random.nextInt(3)];
+            SubmissionReply.Scope scope = SubmissionReply.Scope.values()[random.nextInt(3)];
             long wait = random.nextInt(4) == 0 ? 1_000_000_000_000L : random.nextInt(3) == 0 ? 0 : random.nextInt(3000);
             in(there, () -> {
                 if (o.out == attempt) {
@@ -231,37 +232,39 @@
                         waits.merge(of, now + wait, Math::max);
                     }
                 }
-                answer(number, attempt, sender, Heard.refused(broken == Broken.WAITS_IGNORED ? 0 : wait, scope, "busy"), true);
+                answer(number, attempt, sender,
+                        SubmissionReply.refused(broken == Defect.WAITS_IGNORED ? 0 : wait, scope, "busy"), true);
             });
         } else if (luck < 80) {
-            in(there, () -> answer(number, attempt, sender, Heard.unsent("broke before its last byte"), false));
+            in(there, () -> answer(number, attempt, sender, SubmissionReply.unsent("broke before its last byte"), false));
         } else if (luck < 83) {
-            in(there, () -> answer(number, attempt, sender, Heard.rejected("400"), true));
+            in(there, () -> answer(number, attempt, sender, SubmissionReply.rejected("400"), true));
         } else if (luck < 92) {
             in(there, () -> {
                 take(number, attempt, budgetMs);
-                answer(number, attempt, sender, broken == Broken.LOST_AS_REFUSED
-                        ? Heard.refused(0, Heard.Scope.DESTINATION, "") : Heard.lost("closed"), false);
+                answer(number, attempt, sender, broken == Defect.LOST_AS_REFUSED
+                        ? SubmissionReply.refused(0, SubmissionReply.Scope.DESTINATION, "")
+                        : SubmissionReply.lost("closed"), false);
             });
         } else if (luck < 96) {
             in(there + 400, () -> take(number, attempt, budgetMs));
         }
     }
 
-    private void answer(long number, int attempt, String sender, Heard heard, boolean stays) {
+    private void answer(long number, int attempt, String sender, SubmissionReply heard, boolean stays) {
         Order o = orders.get(number);
         if (o.abandoned.contains(attempt) || o.out != attempt) {
             return;
         }
         o.out = 0;
-        boolean proof = heard.kind() != Heard.Kind.LOST && heard.kind() != Heard.Kind.TAKEN;
-        if (proof && broken != Broken.LOST_AS_REFUSED) {
+        boolean proof = heard.kind() != SubmissionReply.Kind.LOST && heard.kind() != SubmissionReply.Kind.ACCEPTED;
+        if (proof && broken != Defect.LOST_AS_REFUSED) {
             o.mayHaveRun.remove(attempt);
         }
         if (!stays) {
             nodes.get(sender).connections = Math.max(0, nodes.get(sender).connections - 1);
         }
-        courier.heard(told(), number, attempt, heard, stays, false);
+        tracker.onReply(told(), number, attempt, heard, stays, false);
     }
 
     /** A sender has it: it runs once, or not, within its budget; and the client may hear of its end. */
@@ -282,7 +285,8 @@
                     // Not run, and proved so: this copy is out of the account.
                     o.mayHaveRun.remove(attempt);
                 }
-                courier.ended(told(), number, attempt, runs ? new End.Delivered() : luck == 8 ? new End.Refused(random.nextInt(500), "")
+                tracker.onFinalAnswer(told(), number, attempt, runs ? new End.Delivered()
+                        : luck == 8 ? new End.Refused(random.nextInt(500), "")
                         : new End.Failed(true, "dead"));
             });
         }
@@ -297,20 +301,20 @@
     }
 
     @Override
-    public void connect(String sender, boolean trial) {
+    public void connect(String sender, boolean probe) {
         in(1 + random.nextInt(20), () -> {
             Node node = nodes.get(sender);
-            if (node.up && !(trial && node.silent)) {
+            if (node.up && !(probe && node.silent)) {
                 node.connections++;
-                courier.connected(told(), sender);
+                tracker.onConnected(told(), sender);
             } else {
-                courier.connectFailed(told(), sender);
+                tracker.onConnectFailed(told(), sender);
             }
         });
     }
 
     @Override
-    public void end(long number, End end) {
+    public void complete(long number, End end) {
         Order o = orders.get(number);
         fault(o.ended, number + " has a second end");
         o.ended = true;
--- a/src/test/java/slipfield/front/amqp/PublicationsTest.java
+++ b/src/test/java/slipfield/front/amqp/PublicationsTest.java
@@ -15,7 +15,7 @@
 import slipfield.amqp.ReturnHeaders;
 import slipfield.amqp.codec.Properties;
 import slipfield.amqp.codec.ReplyCode;
-import slipfield.amqp.decide.Routes;
+import slipfield.amqp.decide.RoutingTable;
 import slipfield.core.Desk;
 import slipfield.journal.Claim;
 import slipfield.journal.Held;
@@ -31,8 +31,8 @@
     private final List<String> answered = new ArrayList<>();
     private boolean writes = true;
     private long waitMs = -1;
-    private final Publications front = new Publications(null, new Routes().exchange("x",
-            List.of(new Routes.Route("#", "c", 7, 0))), heard::add);
+    private final Publications front = new Publications(null, new RoutingTable().addExchange("x",
+            List.of(new RoutingTable.Route("#", "c", 7, 0))), heard::add);
 
     private final class Channel implements Publisher {
         private final String peer;
--- a/src/test/java/slipfield/work/WorkerTest.java
+++ b/src/test/java/slipfield/work/WorkerTest.java
@@ -142,7 +142,7 @@
         CountDownLatch held = new CountDownLatch(1);
         loop.execute(() -> {
             worker.add(Job.once("live", "live", worker.nowMs() + 60), () -> {
-                order.add("live at " + (worker.latenessMs() >= Scheduler.LATE_MS ? "a late loop" : "rest"));
+                order.add("live at " + (worker.latenessMs() >= Scheduler.LATE_LOOP_MS ? "a late loop" : "rest"));
                 return Task.Done.LAST;
             });
             worker.add(Job.once("ends", "ends", worker.nowMs() + 60), () -> {
--- a/src/test/java/slipfield/work/decide/SchedulerTest.java
+++ b/src/test/java/slipfield/work/decide/SchedulerTest.java
@@ -27,15 +27,15 @@
     private static Scheduler scheduler(int most, Kind... kinds) {
         Scheduler s = new Scheduler(most, SHARE, BURST, 1, 0);
         for (Kind kind : kinds) {
-            s.kind(kind, 0);
+            s.addKind(kind, 0);
         }
         return s;
     }
 
     private static String next(Scheduler s, double now, double late) {
-        s.turn();
+        s.beginIteration();
         return s.next(now, late).map(slice -> {
-            s.ran(slice.job(), new Cost(0, 0, false), now);
+            s.sliceDone(slice.job(), new Cost(0, 0, false), now);
             return slice.name();
         }).orElse("");
     }
@@ -52,7 +52,7 @@
                     random.nextBoolean(), 1e9));
         }
         Scheduler s = new Scheduler(200, SHARE, BURST, seed, 0);
-        kinds.forEach(k -> s.kind(k, 0));
+        kinds.forEach(k -> s.addKind(k, 0));
         Map<Long, Grade> grades = new HashMap<>();
         Map<Long, Integer> left = new HashMap<>();
         Map<Long, Set<Long>> after = new HashMap<>();
@@ -81,7 +81,7 @@
                 due.put(number.get(), when);
                 of.put(number.get(), kind);
             }
-            s.turn();
+            s.beginIteration();
             inTurn.clear();
             for (Optional<Scheduler.Slice> given = s.next(now, late); given.isPresent(); given = s.next(now, late)) {
                 Scheduler.Slice slice = given.get();
@@ -90,14 +90,15 @@
                 assertTrue(left.containsKey(number), "one that had ended");
                 assertTrue(due.get(number) <= now, "before it was due");
                 assertTrue(after.get(number).stream().noneMatch(left::containsKey), "before what it comes after");
-                assertTrue(inTurn.merge(slice.kind(), 1, Integer::sum) <= of.get(number).slicesATurn(), "slices of a turn");
+                assertTrue(inTurn.merge(slice.kind(), 1, Integer::sum) <= of.get(number).slicesPerIteration(),
+                        "slices of a turn");
                 if (grades.get(number) != Grade.ENDS) {
-                    assertTrue(late < Scheduler.LATE_MS, "while the loop was late");
+                    assertTrue(late < Scheduler.LATE_LOOP_MS, "while the loop was late");
                     for (long other : left.keySet()) {
                         boolean could = grades.get(other) == Grade.ENDS && due.get(other) <= at
                                 && running.stream().noneMatch(r -> r.job() == other)
                                 && after.get(other).stream().noneMatch(left::containsKey)
-                                && inTurn.getOrDefault(of.get(other).name(), 0) < of.get(other).slicesATurn();
+                                && inTurn.getOrDefault(of.get(other).name(), 0) < of.get(other).slicesPerIteration();
                         assertFalse(could, "an end was overtaken");
                     }
                 }
@@ -111,7 +112,7 @@
             }
         }
         assertEquals(Map.of(), left, "jobs that never ended");
-        assertEquals(0, s.jobs());
+        assertEquals(0, s.jobCount());
     }
 
     private static void end(Scheduler s, List<Scheduler.Slice> running, int which, Random random, double now,
@@ -126,7 +127,7 @@
         if (more == 0) {
             left.remove(slice.job());
         }
-        s.ran(slice.job(), new Cost(cost, written, more > 0), now);
+        s.sliceDone(slice.job(), new Cost(cost, written, more > 0), now);
         if (kind.grade() != Grade.ENDS) {
             // Four slices may be out on the pool before the first has told its cost.
             double out = LONGEST_SLICE * (1 + running.size());
@@ -187,7 +188,7 @@
                 break;
             }
         }
-        assertTrue(now > 2 * Scheduler.AGE_MS - 100 && now <= 2 * Scheduler.AGE_MS + 100, "it waited " + now);
+        assertTrue(now > 2 * Scheduler.GRADE_STEP_MS - 100 && now <= 2 * Scheduler.GRADE_STEP_MS + 100, "it waited " + now);
     }
 
     @Test
@@ -207,12 +208,12 @@
         long compaction = s.add(Job.once("compaction", "compaction", 0), 0).orElseThrow();
         s.add(Job.once("live", "l", 0), 0);
         assertEquals("", next(s, 1, 5000));
-        s.raise(compaction, Grade.ENDS, 1);
+        s.raiseGrade(compaction, Grade.ENDS, 1);
         assertEquals("compaction", next(s, 1, 5000));
         assertEquals("", next(s, 1, 5000));
         // One that is not due yet, or only comes again later, is due by that.
         long again = s.add(Job.every("again", "compaction", 1, 60_000, 0), 1).orElseThrow();
-        s.raise(again, Grade.ENDS, 2);
+        s.raiseGrade(again, Grade.ENDS, 2);
         assertEquals("again", next(s, 2, 5000));
         assertEquals("", next(s, 70_000, 5000), "and once only");
         assertEquals("live", next(s, 70_000, 0));
@@ -229,14 +230,14 @@
         int done = 0;
         double begun = now;
         while (done < 10_000) {
-            s.turn();
+            s.beginIteration();
             for (int inTurn = 0;; inTurn++) {
                 Optional<Scheduler.Slice> slice = s.next(now, 0);
                 if (slice.isEmpty()) {
                     assertTrue(inTurn <= 4);
                     break;
                 }
-                s.ran(slice.get().job(), new Cost(1, 0, false), now);
+                s.sliceDone(slice.get().job(), new Cost(1, 0, false), now);
                 done++;
             }
             now += 1;
@@ -249,14 +250,14 @@
         Scheduler s = scheduler(100, new Kind("disk", Grade.SOON, 0.1, 20, 0, 4, true, 1000), kind("l", Grade.LIVE));
         long stuck = s.add(Job.once("scrub", "disk", 0), 0).orElseThrow();
         s.add(Job.once("other", "disk", 0), 0);
-        s.turn();
+        s.beginIteration();
         assertEquals(stuck, s.next(0, 0).orElseThrow().job());
-        s.watch(1000);
-        assertEquals(List.of(), s.events());
-        s.watch(1001);
-        assertEquals(List.of("stopped disk: scrub: a slice has not ended for 1001 ms"), s.events());
-        s.watch(2000);
-        assertEquals(List.of(), s.events(), "told once");
+        s.checkOverruns(1000);
+        assertEquals(List.of(), s.takeEvents());
+        s.checkOverruns(1001);
+        assertEquals(List.of("stopped disk: scrub: a slice has not ended for 1001 ms"), s.takeEvents());
+        s.checkOverruns(2000);
+        assertEquals(List.of(), s.takeEvents(), "told once");
         s.add(Job.once("live", "l", 1002), 1002);
         assertEquals("live", next(s, 1002, 0));
         assertEquals("", next(s, 1e6, 0));
@@ -264,10 +265,10 @@
         // On the loop a slice can only be found behind its end.
         Scheduler loop = scheduler(100, kind("l", Grade.LIVE));
         long slow = loop.add(Job.once("slow", "l", 0), 0).orElseThrow();
-        loop.turn();
+        loop.beginIteration();
         loop.next(0, 0);
-        loop.ran(slow, new Cost(1001, 0, true), 1001);
-        assertEquals(List.of("stopped l: slow: a slice took 1001 ms of the loop"), loop.events());
+        loop.sliceDone(slow, new Cost(1001, 0, true), 1001);
+        assertEquals(List.of("stopped l: slow: a slice took 1001 ms of the loop"), loop.takeEvents());
     }
 
     @Test
@@ -279,21 +280,21 @@
         List<Double> tries = new ArrayList<>();
         int good = 0;
         for (double now = 0; now < 30_000; now += 10) {
-            s.turn();
+            s.beginIteration();
             for (Optional<Scheduler.Slice> slice = s.next(now, 0); slice.isPresent(); slice = s.next(now, 0)) {
                 if (slice.get().job() == bad) {
                     tries.add(now);
-                    s.threw(bad, new Cost(0.01, 0, false), now);
+                    s.sliceThrew(bad, new Cost(0.01, 0, false), now);
                 } else {
                     good++;
-                    s.ran(slice.get().job(), new Cost(0.01, 0, false), now);
+                    s.sliceDone(slice.get().job(), new Cost(0.01, 0, false), now);
                 }
             }
         }
         assertEquals(List.of(0.0, 100.0, 300.0, 700.0, 1500.0, 3100.0, 6300.0, 12_700.0), tries);
-        assertEquals(List.of("set aside bad: it threw 8 times in a row", "called off behind: bad did not end"), s.events());
+        assertEquals(List.of("set aside bad: it threw 8 times in a row", "called off behind: bad did not end"), s.takeEvents());
         assertTrue(good > 290, "others went on: " + good);
-        assertEquals(1, s.jobs());
+        assertEquals(1, s.jobCount());
     }
 
     @Test
@@ -310,9 +311,9 @@
         assertEquals("a", next(s, 3_600_500, 0));
         // In debt when it is set back: it is paid by the clock of now.
         long costly = s.add(Job.once("costly", "l", 3_600_500), 3_600_500).orElseThrow();
-        s.turn();
+        s.beginIteration();
         s.next(3_600_500, 0);
-        s.ran(costly, new Cost(500, 0, false), 3_600_500);
+        s.sliceDone(costly, new Cost(500, 0, false), 3_600_500);
         s.add(Job.once("d", "l", 0), 0);
         assertEquals("", next(s, 1, 0));
         assertEquals("d", next(s, 6000, 0));
@@ -339,7 +340,7 @@
         s.add(Job.once("second", "i", 1), 1);
         assertTrue(s.add(Job.once("third", "i", 2), 2).isEmpty(), "idle does not push out idle");
         assertTrue(s.add(Job.once("live", "l", 2), 2).isPresent());
-        assertEquals(List.of("shed second"), s.events());
+        assertEquals(List.of("shed second"), s.takeEvents());
         assertTrue(s.add(Job.once("live2", "l", 2), 2).isPresent());
         assertTrue(s.add(Job.once("live3", "l", 2), 2).isEmpty(), "what comes again and what is not idle stays");
         assertEquals(2, s.report().get(1).shed());
@@ -349,10 +350,10 @@
     void whatIsCalledOffRunsNoMoreAndCostsWhatItTook() {
         Scheduler s = scheduler(100, kind("l", Grade.LIVE));
         long a = s.add(Job.once("a", "l", 0), 0).orElseThrow();
-        s.turn();
+        s.beginIteration();
         s.next(0, 0);
         s.cancel(a);
-        s.ran(a, new Cost(500, 0, true), 10);
+        s.sliceDone(a, new Cost(500, 0, true), 10);
         s.add(Job.once("b", "l", 10), 10);
         assertEquals("", next(s, 10, 0), "its last slice is paid for");
         double ready = s.nextMs(10);
