--- a/src/main/java/slipfield/client/decide/ClassRule.java
+++ b/src/main/java/slipfield/client/decide/ClassRule.java
@@ -1,32 +1,32 @@
 package slipfield.client.decide;
 
 /**
- * What may be done again with orders of a class.
+ * Which repeated submissions are allowed for the orders of a message class.
  *
- * @param windowMs keyed: for so long, in ms, the venue drops a repeat of a key
- * @param resendsUnheard keyed: whether an order whose hand-in was not answered is handed in again. It then carries the
- *     window, not its whole time, as its budget, from the first hand-in on: a copy that a sender holds unbeknown could
- *     otherwise run when the venue has forgotten the key
+ * @param windowMs for KEYED: how long, in ms, the venue drops further orders with the same key
+ * @param resendsUnheard for KEYED: whether an order is submitted again when its submission got no answer. Its budget is then
+ *     limited to the window, counted from the first submission: a sender may hold an earlier copy without the client
+ *     knowing, and that copy could otherwise run after the venue has forgotten the key
  */
 public record ClassRule(Effect effect, long windowMs, boolean resendsUnheard) {
-    /** Checks the ranges. */
+    /** Throws {@link IllegalArgumentException} if a keyed class has no window. */
     public ClassRule {
         if (effect == Effect.KEYED && windowMs <= 0) {
-            throw new IllegalArgumentException("a keyed class has a window over 0 ms, not " + windowMs);
+            throw new IllegalArgumentException("the window of a keyed class must be over 0 ms, not " + windowMs);
         }
     }
 
-    /** Safe to repeat. */
+    /** A class whose orders may run more than once. */
     public static ClassRule safe() {
         return new ClassRule(Effect.SAFE, 0, true);
     }
 
-    /** Keyed, with this window in ms, and resent where it was not answered. */
+    /** A keyed class with this window in ms, whose orders are submitted again when a submission got no answer. */
     public static ClassRule keyed(long windowMs) {
         return new ClassRule(Effect.KEYED, windowMs, true);
     }
 
-    /** Not to be repeated. */
+    /** A class whose orders must not run more than once. */
     public static ClassRule unsafe() {
         return new ClassRule(Effect.UNSAFE, 0, false);
     }
--- a/src/main/java/slipfield/client/decide/ConcurrencyLimit.java
+++ b/src/main/java/slipfield/client/decide/ConcurrencyLimit.java
@@ -1,64 +1,65 @@
 package slipfield.client.decide;
 
 /**
- * How many hand-ins may be out at once: grows by one for each round of answers that come as quickly as they can, and
- * shrinks where they come late, are refused, or do not come. (TCP Vegas, Brakmo and Peterson 1995: the queue is seen by the
- * time that it takes; AIMD, Chiu and Jain 1989.)
+ * Adaptive limit on the number of submissions in flight: additive increase, multiplicative decrease (Chiu and Jain 1989).
+ * It grows by about one per round of quick answers and shrinks when answers are slow, overloaded senders refuse, or answers
+ * fail to come. An answer is slow compared with the quickest recent one, since a queue shows as added latency (TCP Vegas,
+ * Brakmo and Peterson 1995).
  */
 final class ConcurrencyLimit {
-    /** The quickest answer is forgotten after so long: what it came by may have changed. */
-    private static final long MEMORY_MS = 10_000;
-    /** One fault is many answers: it counts once in so long. */
-    private static final long ONCE_MS = 200;
-    /** Answers are late when they take so many times the quickest, and so many ms more. */
-    private static final double LATE = 3;
-    private static final double LATE_MS = 5;
-    private static final double LATE_CUT = 0.9;
-    private static final double PUSHED_CUT = 0.7;
+    /** How often the quickest latency is measured afresh, since the path that it came over may have changed. */
+    private static final long BASELINE_MS = 10_000;
+    /** At most one reduction within this time: a single fault affects many answers at once. */
+    private static final long REDUCTION_INTERVAL_MS = 200;
+    /** An answer is slow if it takes more than SLOW_FACTOR times the quickest latency plus SLOW_MARGIN_MS. */
+    private static final double SLOW_FACTOR = 3;
+    private static final double SLOW_MARGIN_MS = 5;
+    private static final double SLOW_REDUCTION = 0.9;
+    private static final double OVERLOAD_REDUCTION = 0.7;
 
-    private final int least;
-    private final int most;
-    private double level;
-    private double quickest = Double.MAX_VALUE;
-    private double quickestBefore = Double.MAX_VALUE;
-    private long turnedMs;
-    private long cutMs = Long.MIN_VALUE / 2;
+    private final int min;
+    private final int max;
+    private double limit;
+    private double quickestMs = Double.MAX_VALUE;
+    private double previousQuickestMs = Double.MAX_VALUE;
+    private long baselineStartMs;
+    private long reducedMs = Long.MIN_VALUE / 2;
 
-    ConcurrencyLimit(int least, int most, long nowMs) {
-        this.least = least;
-        this.most = most;
-        this.level = Math.min(most, 4.0 * least);
-        this.turnedMs = nowMs;
+    ConcurrencyLimit(int min, int max, long nowMs) {
+        this.min = min;
+        this.max = max;
+        this.limit = Math.min(max, 4.0 * min);
+        this.baselineStartMs = nowMs;
     }
 
-    int level() {
-        return (int) level;
+    int limit() {
+        return (int) limit;
     }
 
-    /** One was answered after so long, when so many were out. */
-    void answered(long nowMs, double tookMs, int out) {
-        if (nowMs - turnedMs > MEMORY_MS) {
-            quickestBefore = quickest;
-            quickest = Double.MAX_VALUE;
-            turnedMs = nowMs;
+    /** Records an answer. {@code tookMs}: its latency; {@code inFlight}: submissions in flight when it came, itself included. */
+    void onAnswer(long nowMs, double tookMs, int inFlight) {
+        if (nowMs - baselineStartMs > BASELINE_MS) {
+            previousQuickestMs = quickestMs;
+            quickestMs = Double.MAX_VALUE;
+            baselineStartMs = nowMs;
         }
-        quickest = Math.min(quickest, tookMs);
-        if (tookMs > LATE * Math.min(quickest, quickestBefore) + LATE_MS) {
-            cut(nowMs, LATE_CUT);
-        } else if (out >= level / 2) {
-            level = Math.min(most, level + 1 / level);
+        quickestMs = Math.min(quickestMs, tookMs);
+        if (tookMs > SLOW_FACTOR * Math.min(quickestMs, previousQuickestMs) + SLOW_MARGIN_MS) {
+            reduce(nowMs, SLOW_REDUCTION);
+        } else if (inFlight >= limit / 2) {
+            limit = Math.min(max, limit + 1 / limit);
         }
     }
 
-    /** One was refused by a sender that has too much, or was not answered. */
-    void pushedBack(long nowMs) {
-        cut(nowMs, PUSHED_CUT);
+    /** Records a submission that an overloaded sender refused, or that got no answer. */
+    void onOverload(long nowMs) {
+        reduce(nowMs, OVERLOAD_REDUCTION);
     }
 
-    private void cut(long nowMs, double to) {
-        if (nowMs - cutMs >= ONCE_MS) {
-            cutMs = nowMs;
-            level = Math.max(least, level * to);
+    private void reduce(long nowMs, double factor) {
+        if (nowMs - reducedMs >= REDUCTION_INTERVAL_MS) {
+            reducedMs = nowMs;
+            limit = Math.max(min, limit * factor);
         }
     }
 }
--- a/src/main/java/slipfield/client/decide/Effect.java
+++ b/src/main/java/slipfield/client/decide/Effect.java
@@ -1,11 +1,11 @@
 package slipfield.client.decide;
 
-/** What becomes of an order that runs twice. */
+/** What happens if an order runs twice, and therefore when it may be submitted again. */
 public enum Effect {
-    /** No harm: it may be handed in again until its time is over. */
+    /** A second run does no harm: the order may be submitted again until its deadline. */
     SAFE,
-    /** The venue drops a repeat of its key for a time: it may be handed in again within that. */
+    /** The venue drops repeats of a key for a limited time: the order may be submitted again within that time. */
     KEYED,
-    /** A second effect: it is handed in again only where it is proved that it was not taken. */
+    /** A second run has a second effect: the order is submitted again only if no sender can have accepted it. */
     UNSAFE
 }
--- a/src/main/java/slipfield/client/decide/End.java
+++ b/src/main/java/slipfield/client/decide/End.java
@@ -1,24 +1,24 @@
 package slipfield.client.decide;
 
-/** The one final answer of an order. */
+/** The final answer to an order; each order gets exactly one. */
 public sealed interface End {
-    /** A venue has it. */
+    /** A venue has received the order. */
     record Delivered() implements End {
     }
 
-    /** A sender has it, and owes it its end, which this client does not follow. */
+    /** A sender has accepted the order; its final answer is not known because this client does not follow answers. */
     record Taken(String sender) implements End {
     }
 
-    /** It did not run, and may be handed in anew. {@code comeBackMs}: after so long, in ms; 0: nobody said when. */
+    /** The order did not run and may be submitted anew. {@code comeBackMs}: requested delay in ms; 0: none was requested. */
     record Refused(long comeBackMs, String why) implements End {
     }
 
-    /** It was given up. {@code mayHaveRun}: whether it may have had its effect, or is proved not to have had it. */
+    /** The order failed. {@code mayHaveRun}: true if it may have had its effect, false if it certainly had none. */
     record Failed(boolean mayHaveRun, String why) implements End {
     }
 
-    /** Nobody knows; {@code taken}: a sender is known to have it. It may have run, or may yet. */
+    /** The outcome is unknown: the order may have run, or may still run. {@code taken}: a sender is known to have accepted it. */
     record Unknown(boolean taken, String why) implements End {
     }
 }
--- a/src/main/java/slipfield/client/decide/OrderTracker.java
+++ b/src/main/java/slipfield/client/decide/OrderTracker.java
@@ -11,538 +11,554 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Every order of a client from its submission to its one end. It is told what happens, with the time, and answers by
- * {@link Actions}, at once and in order. Each order has at most one hand-in out. Times are in ms of a clock that does not
- * go back; one that does stands still here.
+ * Tracks every order of a client from its submission to its single final answer. Callers report events with the current
+ * time; decisions are returned as calls of {@link Actions}, made before the method returns and in order. Each order has at
+ * most one submission in flight. Times are in ms of a monotonic clock; a time earlier than the last one is taken as the
+ * last one.
  */
 public final class OrderTracker {
-    /** What a hand-in says of those before it (PROTOCOL, X-Again). */
+    /** What a submission says about the earlier ones of the same order (PROTOCOL, X-Again). */
     public enum PreviousSubmission {
-        /** Nothing: it is the first, or no earlier one reached a sender. */
+        /** It is the first, or no earlier one reached a sender. */
         NONE,
-        /** An earlier one was refused. */
+        /** The last one that reached a sender was refused. */
         REFUSED,
-        /** A sender had an earlier one and died, or did not answer. */
+        /** The last one that reached a sender got no answer: it may have been accepted. */
         UNANSWERED
     }
 
-    /** What is to be done. None of it calls back before it returns. */
+    /** The actions that the tracker decides on. An implementation must not call the tracker before it returns. */
     public interface Actions {
-        /** Hands the order in over an idle connection to this sender; {@code budgetMs}: how long it may still run. */
-        void send(long order, int attempt, String sender, long budgetMs, PreviousSubmission again);
+        /** Submits the order over an idle connection to this sender; {@code budgetMs}: how long it may still run. */
+        void send(long order, int attempt, String sender, long budgetMs, PreviousSubmission previous);
 
-        /** Stops waiting for this hand-in's answer: its connection is closed. */
+        /** Stops waiting for the answer to this submission, and closes its connection. */
         void abandon(long order, int attempt);
 
-        /** Opens one more connection to this sender; {@code probe}: asks on it whether the sender is ready, too. */
+        /** Opens one more connection to this sender; {@code probe}: and asks on it whether the sender is ready. */
         void connect(String sender, boolean probe);
 
-        /** The order's one end. */
+        /** Reports the order's final answer; called once per order. */
         void complete(long order, End end);
     }
 
-    private static final int MOST_DOUBLINGS = 10;
+    private static final int MAX_DOUBLINGS = 10;
 
     private final Rules rules;
     private final RandomGenerator random;
     private final Actions actions;
-    private final Map<Long, Item> orders = new HashMap<>();
-    private final SenderPool fleet;
-    /** May be handed in now, the one whose time is over first ahead. */
-    private final TreeSet<Item> ready = new TreeSet<>(Item.BY_DEADLINE);
-    /** May be handed in later. */
-    private final TreeSet<Item> parked = new TreeSet<>(Item.BY_PAUSE);
-    /** All that have no end yet, by when they end at the latest. */
-    private final TreeSet<Item> live = new TreeSet<>(Item.BY_END);
-    /** Hand-ins out, by when their answer is no longer waited for. */
-    private final TreeSet<Item> out = new TreeSet<>(Item.BY_ANSWER);
-    private final RetryAfterTimes<String> destinationWaits = new RetryAfterTimes<>();
-    private final RetryAfterTimes<String> tenantWaits = new RetryAfterTimes<>();
-    private final RetryBudget budget;
-    private final ConcurrencyLimit level;
+    private final Map<Long, TrackedOrder> orders = new HashMap<>();
+    private final SenderPool pool;
+    /** Orders that may be submitted now, earliest deadline first. */
+    private final TreeSet<TrackedOrder> ready = new TreeSet<>(TrackedOrder.BY_DEADLINE);
+    /** Orders that may be submitted later, by when. */
+    private final TreeSet<TrackedOrder> delayed = new TreeSet<>(TrackedOrder.BY_NOT_BEFORE);
+    /** All orders without a final answer, by when they get one at the latest. */
+    private final TreeSet<TrackedOrder> open = new TreeSet<>(TrackedOrder.BY_LATEST_END);
+    /** Orders with a submission in flight, by when its answer is no longer awaited. */
+    private final TreeSet<TrackedOrder> inFlight = new TreeSet<>(TrackedOrder.BY_REPLY_DEADLINE);
+    private final RetryAfterTimes<String> destinationDelays = new RetryAfterTimes<>();
+    private final RetryAfterTimes<String> tenantDelays = new RetryAfterTimes<>();
+    private final RetryBudget retryBudget;
+    private final ConcurrencyLimit limit;
     private long now;
-    private boolean pumping;
+    private boolean processing;
     private boolean closed;
 
-    /** An order. */
-    private static final class Item {
-        static final Comparator<Item> BY_DEADLINE = Comparator.<Item>comparingLong(i -> i.deadlineMs)
-                .thenComparingLong(i -> i.number);
-        static final Comparator<Item> BY_END = Comparator.<Item>comparingLong(i -> i.endMs)
-                .thenComparingLong(i -> i.number);
-        static final Comparator<Item> BY_PAUSE = Comparator.<Item>comparingLong(i -> i.notBeforeMs)
-                .thenComparingLong(i -> i.number);
-        static final Comparator<Item> BY_ANSWER = Comparator.<Item>comparingLong(i -> i.answerMs)
-                .thenComparingLong(i -> i.number);
+    /** The state of one order. */
+    private static final class TrackedOrder {
+        static final Comparator<TrackedOrder> BY_DEADLINE = Comparator.<TrackedOrder>comparingLong(o -> o.deadlineMs)
+                .thenComparingLong(o -> o.number);
+        static final Comparator<TrackedOrder> BY_LATEST_END = Comparator.<TrackedOrder>comparingLong(o -> o.latestEndMs)
+                .thenComparingLong(o -> o.number);
+        static final Comparator<TrackedOrder> BY_NOT_BEFORE = Comparator.<TrackedOrder>comparingLong(o -> o.notBeforeMs)
+                .thenComparingLong(o -> o.number);
+        static final Comparator<TrackedOrder> BY_REPLY_DEADLINE = Comparator.<TrackedOrder>comparingLong(o -> o.replyDeadlineMs)
+                .thenComparingLong(o -> o.number);
 
         final long number;
         final ClassRule rule;
         final String destination;
         final String tenant;
         final long deadlineMs;
-        /** When it ends at the latest: its deadline, and later where a sender has it. */
-        long endMs;
+        /** When it gets its final answer at the latest: its deadline, or later once a sender has accepted it. */
+        long latestEndMs;
         long notBeforeMs;
-        long answerMs;
+        long replyDeadlineMs;
         int attempts;
-        /** Hand-ins in a row that came to nothing. */
-        int fruitless;
-        /** When the first hand-in was made that may have been taken; negative: none. */
-        long firstMs = -1;
-        /** The same, of those that are answered for or given up: without the one that is out. */
-        long firstBeforeMs = -1;
+        /** Consecutive submissions that failed, for the length of the next pause. */
+        int failedInRow;
+        /** Time of the first submission that a sender may have accepted; negative: the order can't have run. */
+        long mayHaveRunSinceMs = -1;
+        /** {@link #mayHaveRunSinceMs} before the last submission, restored if that one turns out not to be accepted. */
+        long mayHaveRunBeforeSendMs = -1;
         long sentMs;
-        Sender at;
-        PreviousSubmission again = PreviousSubmission.NONE;
-        boolean taken;
+        Sender sender;
+        PreviousSubmission previous = PreviousSubmission.NONE;
+        boolean accepted;
         boolean cancelled;
-        /** Its end is told; its hand-in still waits for an answer that came later than that. */
-        boolean over;
-        String lastWhy = "";
+        /** The final answer was reported while its last submission still awaits its reply. */
+        boolean answered;
+        String lastReason = "";
 
-        Item(long number, ClassRule rule, String destination, String tenant, long deadlineMs) {
+        TrackedOrder(long number, ClassRule rule, String destination, String tenant, long deadlineMs) {
             this.number = number;
             this.rule = rule;
             this.destination = destination;
             this.tenant = tenant;
             this.deadlineMs = deadlineMs;
-            this.endMs = deadlineMs;
+            this.latestEndMs = deadlineMs;
         }
     }
 
-    /** Begins at this time, without senders. */
+    /** A tracker that starts at this time without senders. */
     public OrderTracker(Rules rules, RandomGenerator random, long nowMs, Actions actions) {
         this.rules = rules;
         this.random = random;
         this.actions = actions;
-        this.fleet = new SenderPool(rules, random, actions::connect);
+        this.pool = new SenderPool(rules, random, actions::connect);
         this.now = nowMs;
-        this.budget = new RetryBudget(rules.retryShare(), rules.retryBurst(), nowMs);
-        this.level = new ConcurrencyLimit(rules.leastInFlight(), rules.mostInFlight(), nowMs);
+        this.retryBudget = new RetryBudget(rules.retryShare(), rules.retryBurst(), nowMs);
+        this.limit = new ConcurrencyLimit(rules.leastInFlight(), rules.mostInFlight(), nowMs);
     }
 
-    private void at(long nowMs) {
+    private void advanceTo(long nowMs) {
         now = Math.max(now, nowMs);
     }
 
-    // ---- what is told ----
+    // ---- events ----
 
-    /** The list of senders; one that left it gets nothing new. An empty list stands for not knowing: the last one stays. */
+    /**
+     * The complete list of senders. One that is missing from it gets no new orders. An empty list means that the senders
+     * are not known, and the last list stays in force.
+     */
     public void updateSenders(long nowMs, Collection<String> names) {
-        at(nowMs);
+        advanceTo(nowMs);
         if (names.isEmpty()) {
             return;
         }
-        fleet.listed(now, names);
-        pump();
+        pool.updateList(now, names);
+        process();
     }
 
     /**
-     * An order, under a number of the caller's own that is not used twice.
+     * Adds an order, or refuses it at once if too many are waiting.
      *
-     * @param withinMs its time, from now
+     * @param number the caller's number for the order, never used twice
+     * @param withinMs the order's time limit, in ms from now
      */
     public void submit(long nowMs, long number, ClassRule rule, String destination, String tenant, long withinMs) {
-        at(nowMs);
-        Item item = new Item(number, rule, destination, tenant, now + withinMs);
-        orders.put(number, item);
-        live.add(item);
+        advanceTo(nowMs);
+        TrackedOrder order = new TrackedOrder(number, rule, destination, tenant, now + withinMs);
+        orders.put(number, order);
+        open.add(order);
         if (closed) {
-            end(item, new End.Failed(false, "the client is closed"));
-        } else if (ready.size() + parked.size() >= rules.mostQueued()) {
-            end(item, new End.Refused(0, "the client holds " + rules.mostQueued() + " orders already"));
+            end(order, new End.Failed(false, "the client is closed"));
+        } else if (ready.size() + delayed.size() >= rules.mostQueued()) {
+            end(order, new End.Refused(0, "the client's queue is full: " + rules.mostQueued() + " orders wait"));
         } else {
-            ready.add(item);
-            pump();
+            ready.add(order);
+            process();
         }
     }
 
-    /** Calls an order off, if no sender has it yet; returns whether it is over, or will be unless its hand-in is taken. */
+    /**
+     * Cancels an order that no sender is known to have accepted. Returns false if it is too late; true if the order has ended,
+     * or will end unless the submission in flight is accepted.
+     */
     public boolean cancel(long nowMs, long number) {
-        at(nowMs);
-        Item item = orders.get(number);
-        if (item == null || item.taken || item.over) {
+        advanceTo(nowMs);
+        TrackedOrder order = orders.get(number);
+        if (order == null || order.accepted || order.answered) {
             return false;
         }
-        item.cancelled = true;
-        if (item.at == null) {
-            end(item, item.firstMs < 0 ? new End.Failed(false, "cancelled")
-                    : new End.Unknown(false, "cancelled; " + item.lastWhy));
+        order.cancelled = true;
+        if (order.sender == null) {
+            end(order, order.mayHaveRunSinceMs < 0 ? new End.Failed(false, "cancelled")
+                    : new End.Unknown(false, "cancelled; " + order.lastReason));
         }
-        pump();
+        process();
         return true;
     }
 
-    /** A connection to this sender stands; of a trial: and it says that it is ready. */
+    /** A connection to this sender was opened; if it was a probe, the sender also reported that it is ready. */
     public void onConnected(long nowMs, String name) {
-        at(nowMs);
-        fleet.of(name).ifPresent(s -> fleet.connected(now, s));
-        pump();
+        advanceTo(nowMs);
+        pool.find(name).ifPresent(s -> pool.onConnected(now, s));
+        process();
     }
 
-    /** A connection did not come up, or the sender is not ready on it: it is closed. */
+    /** A connection could not be opened, or was closed because the sender reported that it is not ready. */
     public void onConnectFailed(long nowMs, String name) {
-        at(nowMs);
-        fleet.of(name).ifPresent(s -> fleet.connectFailed(now, s));
-        pump();
+        advanceTo(nowMs);
+        pool.find(name).ifPresent(s -> pool.onConnectFailed(now, s));
+        process();
     }
 
-    /** A connection was closed that no hand-in was out on; {@code inOrder}: the sender said so before. */
+    /** A connection without a submission in flight was closed; {@code inOrder}: the sender had announced it. */
     public void onConnectionClosed(long nowMs, String name, boolean inOrder) {
-        at(nowMs);
-        fleet.of(name).ifPresent(s -> {
+        advanceTo(nowMs);
+        pool.find(name).ifPresent(s -> {
             s.idle = Math.max(0, s.idle - 1);
             if (inOrder) {
-                fleet.drains(now, s);
+                pool.onDrain(now, s);
             }
-            fleet.lost(now, s);
+            pool.onConnectionLost(now, s);
         });
-        pump();
+        process();
     }
 
-    /** An idle connection was closed from this side, before the sender would: nothing is lost by it. */
+    /** The client closed an idle connection before the sender would have; the sender's state does not change. */
     public void onConnectionRetired(long nowMs, String name) {
-        at(nowMs);
-        fleet.of(name).ifPresent(s -> s.idle = Math.max(0, s.idle - 1));
+        advanceTo(nowMs);
+        pool.find(name).ifPresent(s -> s.idle = Math.max(0, s.idle - 1));
     }
 
-    /** A sender tells over what time its clients are to connect anew, in ms. */
+    /** A sender reported the window, in ms, over which its clients shall reconnect; a negative one is ignored. */
     public void onReconnectWindow(long nowMs, String name, long windowMs) {
-        at(nowMs);
+        advanceTo(nowMs);
         if (windowMs >= 0) {
-            fleet.of(name).ifPresent(s -> s.toldWindowMs = Math.min(windowMs, rules.mostSpreadMs()));
+            pool.find(name).ifPresent(s -> s.reportedWindowMs = Math.min(windowMs, rules.mostSpreadMs()));
         }
     }
 
     /**
-     * What became of a hand-in. {@code stays}: its connection can be used again; {@code inOrder}: if not, the sender said that
-     * it closes. One that is not waited for any more is passed over.
+     * The reply to a submission. A reply that is no longer awaited is ignored.
+     *
+     * @param stays whether the connection can be used again
+     * @param inOrder if it can't: whether the sender announced that it closes it
      */
-    public void onReply(long nowMs, long number, int attempt, SubmissionReply heard, boolean stays, boolean inOrder) {
-        at(nowMs);
-        Item item = orders.get(number);
-        if (item == null || item.at == null || item.attempts != attempt) {
+    public void onReply(long nowMs, long number, int attempt, SubmissionReply reply, boolean stays, boolean inOrder) {
+        advanceTo(nowMs);
+        TrackedOrder order = orders.get(number);
+        if (order == null || order.sender == null || order.attempts != attempt) {
             return;
         }
-        Sender sender = item.at;
-        double took = now - item.sentMs;
-        int outBefore = out.size();
-        unsend(item, stays);
+        Sender sender = order.sender;
+        double tookMs = now - order.sentMs;
+        int inFlightBefore = inFlight.size();
+        clearInFlight(order, stays);
         if (!stays) {
             if (inOrder) {
-                fleet.drains(now, sender);
+                pool.onDrain(now, sender);
             }
-            fleet.lost(now, sender);
+            pool.onConnectionLost(now, sender);
         }
-        settle(item, sender, heard, took, outBefore);
-        pump();
+        handleReply(order, sender, reply, tookMs, inFlightBefore);
+        process();
     }
 
     /**
-     * The end of a hand-in that was taken, as the sender tells it; {@code end}: delivered, refused or failed. Of an earlier
-     * hand-in than the last only a delivery counts: the last one may run still.
+     * A sender reported the final answer of an accepted submission: delivered, refused or failed. For an earlier submission
+     * than the last one only a delivery counts, since the last one may still run.
      */
     public void onFinalAnswer(long nowMs, long number, int attempt, End end) {
-        at(nowMs);
-        Item item = orders.get(number);
-        if (item == null || attempt != item.attempts && !(end instanceof End.Delivered)) {
+        advanceTo(nowMs);
+        TrackedOrder order = orders.get(number);
+        if (order == null || attempt != order.attempts && !(end instanceof End.Delivered)) {
             return;
         }
-        if (end instanceof End.Refused refused && !item.over) {
-            if (item.at != null) {
-                actions.abandon(number, item.attempts);
-                Sender sender = item.at;
-                unsend(item, false);
-                fleet.lost(now, sender);
+        if (end instanceof End.Refused refused && !order.answered) {
+            if (order.sender != null) {
+                actions.abandon(number, order.attempts);
+                Sender sender = order.sender;
+                clearInFlight(order, false);
+                pool.onConnectionLost(now, sender);
             }
-            item.taken = false;
-            move(item, item.deadlineMs);
-            item.firstMs = item.firstBeforeMs;
-            item.again = PreviousSubmission.REFUSED;
-            item.lastWhy = refused.why();
-            ready.remove(item);
-            parked.remove(item);
-            again(item, now + Math.max(refused.comeBackMs(), pause(item)), refused);
-        } else if (item.at != null && !item.over) {
-            // Its 202 is on its way still: the connection is free when that has come.
-            item.over = true;
-            live.remove(item);
+            order.accepted = false;
+            setLatestEnd(order, order.deadlineMs);
+            order.mayHaveRunSinceMs = order.mayHaveRunBeforeSendMs;
+            order.previous = PreviousSubmission.REFUSED;
+            order.lastReason = refused.why();
+            ready.remove(order);
+            delayed.remove(order);
+            submitAgain(order, now + Math.max(refused.comeBackMs(), pauseMs(order)), refused);
+        } else if (order.sender != null && !order.answered) {
+            // The final answer overtook the reply to the submission; the connection becomes idle when the reply comes.
+            order.answered = true;
+            open.remove(order);
             actions.complete(number, end);
-        } else if (!item.over) {
-            end(item, end);
+        } else if (!order.answered) {
+            end(order, end);
         }
-        pump();
+        process();
     }
 
-    /** The time has come that {@link #nextTickMs} told. */
+    /** Does what is due at this time; to be called at the time that {@link #nextTickMs} returned. */
     public void tick(long nowMs) {
-        at(nowMs);
-        pump();
+        advanceTo(nowMs);
+        process();
     }
 
-    /** Ends all that has no end yet; what is submitted from now on ends at once. */
+    /** Ends all orders that have no final answer; orders submitted afterwards fail at once. */
     public void close(long nowMs) {
-        at(nowMs);
+        advanceTo(nowMs);
         closed = true;
-        for (Item item : List.copyOf(live)) {
-            if (item.at != null) {
-                actions.abandon(item.number, item.attempts);
+        for (TrackedOrder order : List.copyOf(open)) {
+            if (order.sender != null) {
+                actions.abandon(order.number, order.attempts);
             }
-            end(item, over(item, "the client is closed"));
+            end(order, unansweredEnd(order, "the client is closed"));
         }
     }
 
-    /** When {@link #tick} has something to do, if nothing is told before; never: {@link Long#MAX_VALUE}. */
+    /** When {@link #tick} has something to do if no event comes earlier; {@link Long#MAX_VALUE}: never. */
     public long nextTickMs() {
         long next = Long.MAX_VALUE;
         if (closed) {
             return next;
         }
-        if (!live.isEmpty()) {
-            next = Math.min(next, live.first().endMs);
+        if (!open.isEmpty()) {
+            next = Math.min(next, open.first().latestEndMs);
         }
-        if (!out.isEmpty()) {
-            next = Math.min(next, out.first().answerMs);
+        if (!inFlight.isEmpty()) {
+            next = Math.min(next, inFlight.first().replyDeadlineMs);
         }
-        if (!parked.isEmpty()) {
-            next = Math.min(next, parked.first().notBeforeMs);
+        if (!delayed.isEmpty()) {
+            next = Math.min(next, delayed.first().notBeforeMs);
         }
-        return Math.min(next, fleet.nextMs(now, !ready.isEmpty()));
+        return Math.min(next, pool.nextTickMs(now, !ready.isEmpty()));
     }
 
-    // ---- what it decides ----
+    // ---- decisions ----
 
-    private void pump() {
-        if (pumping || closed) {
+    private void process() {
+        if (processing || closed) {
             return;
         }
-        pumping = true;
+        processing = true;
         try {
             expire();
-            fleet.connect(now);
-            while (!parked.isEmpty() && parked.first().notBeforeMs <= now) {
-                ready.add(parked.pollFirst());
+            pool.openDueConnections(now);
+            while (!delayed.isEmpty() && delayed.first().notBeforeMs <= now) {
+                ready.add(delayed.pollFirst());
             }
-            handIn();
+            submitReady();
         } finally {
-            pumping = false;
+            processing = false;
         }
     }
 
     private void expire() {
-        while (!out.isEmpty() && out.first().answerMs <= now) {
-            Item item = out.first();
-            Sender sender = item.at;
-            actions.abandon(item.number, item.attempts);
-            int outBefore = out.size();
-            unsend(item, false);
-            fleet.lost(now, sender);
-            settle(item, sender, SubmissionReply.lost("no answer from " + sender.name + " in " + (now - item.sentMs) + " ms"),
-                    now - item.sentMs, outBefore);
-        }
-        while (!live.isEmpty() && live.first().endMs <= now) {
-            Item item = live.first();
-            if (item.at != null) {
-                actions.abandon(item.number, item.attempts);
-                Sender sender = item.at;
-                unsend(item, false);
-                fleet.lost(now, sender);
-                item.firstBeforeMs = item.firstMs;
+        while (!inFlight.isEmpty() && inFlight.first().replyDeadlineMs <= now) {
+            TrackedOrder order = inFlight.first();
+            Sender sender = order.sender;
+            actions.abandon(order.number, order.attempts);
+            int inFlightBefore = inFlight.size();
+            clearInFlight(order, false);
+            pool.onConnectionLost(now, sender);
+            handleReply(order, sender,
+                    SubmissionReply.lost("no answer from " + sender.name + " in " + (now - order.sentMs) + " ms"),
+                    now - order.sentMs, inFlightBefore);
+        }
+        while (!open.isEmpty() && open.first().latestEndMs <= now) {
+            TrackedOrder order = open.first();
+            if (order.sender != null) {
+                actions.abandon(order.number, order.attempts);
+                Sender sender = order.sender;
+                clearInFlight(order, false);
+                pool.onConnectionLost(now, sender);
+                order.mayHaveRunBeforeSendMs = order.mayHaveRunSinceMs;
             }
-            end(item, over(item, item.lastWhy.isEmpty() ? "its time is over" : "its time is over; " + item.lastWhy));
+            end(order, unansweredEnd(order, order.lastReason.isEmpty() ? "the order's time limit has passed"
+                    : "the order's time limit has passed; " + order.lastReason));
         }
     }
 
-    /** Its end, where nobody tells one. */
-    private static End over(Item item, String why) {
-        return item.taken ? new End.Unknown(true, why + "; a sender has it")
-                : item.firstMs >= 0 ? new End.Unknown(false, why) : new End.Failed(false, why);
+    /** The final answer of an order that got none from a sender: unknown if it may have run, otherwise failed. */
+    private static End unansweredEnd(TrackedOrder order, String why) {
+        return order.accepted ? new End.Unknown(true, why + "; a sender has accepted it")
+                : order.mayHaveRunSinceMs >= 0 ? new End.Unknown(false, why) : new End.Failed(false, why);
     }
 
-    private void handIn() {
-        List<Item> later = new ArrayList<>();
-        while (!ready.isEmpty() && out.size() < level.level()) {
-            Item item = ready.first();
-            long waitMs = Math.max(destinationWaits.until(item.destination), tenantWaits.until(item.tenant));
-            if (waitMs > now) {
-                ready.remove(item);
-                park(item, waitMs, new End.Refused(waitMs - now, "told to wait; " + item.lastWhy));
+    private void submitReady() {
+        List<TrackedOrder> overBudget = new ArrayList<>();
+        while (!ready.isEmpty() && inFlight.size() < limit.limit()) {
+            TrackedOrder order = ready.first();
+            long delayedUntilMs = Math.max(destinationDelays.untilMs(order.destination), tenantDelays.untilMs(order.tenant));
+            if (delayedUntilMs > now) {
+                ready.remove(order);
+                schedule(order, delayedUntilMs,
+                        new End.Refused(delayedUntilMs - now, "a delay was requested; " + order.lastReason));
                 continue;
             }
-            long until = ResubmissionDeadline.until(item.rule, rules, now, item.deadlineMs, item.firstMs);
-            if (until == ResubmissionDeadline.NEVER) {
-                ready.remove(item);
-                end(item, over(item, "too late to hand it in again; " + item.lastWhy));
+            long latestRunMs = ResubmissionDeadline.latestRunMs(order.rule, rules, now, order.deadlineMs,
+                    order.mayHaveRunSinceMs);
+            if (latestRunMs == ResubmissionDeadline.NEVER) {
+                ready.remove(order);
+                end(order, unansweredEnd(order, "too late to submit it again; " + order.lastReason));
                 continue;
             }
-            Sender sender = fleet.pick(now, ready.size());
+            Sender sender = pool.select(now, ready.size());
             if (sender == null) {
                 break;
             }
-            if (item.attempts > 0 && !budget.take(now)) {
-                ready.remove(item);
-                item.notBeforeMs = budget.nextMs(now);
-                later.add(item);
+            if (order.attempts > 0 && !retryBudget.tryTake(now)) {
+                ready.remove(order);
+                order.notBeforeMs = retryBudget.nextTokenMs(now);
+                overBudget.add(order);
                 continue;
             }
-            ready.remove(item);
-            send(item, sender, until);
+            ready.remove(order);
+            submitTo(order, sender, latestRunMs);
         }
-        parked.addAll(later);
+        delayed.addAll(overBudget);
         if (!ready.isEmpty()) {
-            turnAwayThoseWhoCannotWait();
+            endOrdersThatCannotWait();
         }
     }
 
-    private void send(Item item, Sender sender, long until) {
-        if (item.attempts == 0) {
-            budget.first();
+    private void submitTo(TrackedOrder order, Sender sender, long latestRunMs) {
+        if (order.attempts == 0) {
+            retryBudget.onFirstSubmission();
         }
-        item.attempts++;
-        item.at = sender;
-        item.sentMs = now;
-        item.firstBeforeMs = item.firstMs;
-        item.firstMs = item.firstMs >= 0 ? item.firstMs : now;
-        item.answerMs = Math.min(now + rules.answerMs(), item.endMs);
-        out.add(item);
+        order.attempts++;
+        order.sender = sender;
+        order.sentMs = now;
+        order.mayHaveRunBeforeSendMs = order.mayHaveRunSinceMs;
+        order.mayHaveRunSinceMs = order.mayHaveRunSinceMs >= 0 ? order.mayHaveRunSinceMs : now;
+        order.replyDeadlineMs = Math.min(now + rules.answerMs(), order.latestEndMs);
+        inFlight.add(order);
         sender.idle--;
         sender.busy++;
-        actions.send(item.number, item.attempts, sender.name, until - now, item.again);
+        actions.send(order.number, order.attempts, sender.name, latestRunMs - now, order.previous);
     }
 
-    /** Where every sender has told a wait, an order whose time is over before the first of them ends at once. */
-    private void turnAwayThoseWhoCannotWait() {
-        Optional<Long> first = fleet.opensMs(now);
+    /** If every sender requested a delay, ends the orders whose deadline passes before the first of these delays ends. */
+    private void endOrdersThatCannotWait() {
+        Optional<Long> first = pool.allDelayedUntilMs(now);
         if (first.isEmpty()) {
             return;
         }
-        long opens = first.get();
-        while (!ready.isEmpty() && ready.first().deadlineMs - rules.leastBudgetMs() < opens) {
-            Item item = ready.pollFirst();
-            end(item, item.firstMs >= 0 ? over(item, "every sender told to wait; " + item.lastWhy)
-                    : new End.Refused(opens - now, "every sender told to wait; " + item.lastWhy));
+        long earliestMs = first.get();
+        while (!ready.isEmpty() && ready.first().deadlineMs - rules.leastBudgetMs() < earliestMs) {
+            TrackedOrder order = ready.pollFirst();
+            end(order, order.mayHaveRunSinceMs >= 0
+                    ? unansweredEnd(order, "every sender requested a delay; " + order.lastReason)
+                    : new End.Refused(earliestMs - now, "every sender requested a delay; " + order.lastReason));
         }
     }
 
-    /** The hand-in is out no more. */
-    private void unsend(Item item, boolean stays) {
-        out.remove(item);
-        Sender sender = item.at;
-        item.at = null;
+    /** Takes back the order's submission in flight; {@code stays}: its connection can be used again. */
+    private void clearInFlight(TrackedOrder order, boolean stays) {
+        inFlight.remove(order);
+        Sender sender = order.sender;
+        order.sender = null;
         sender.busy--;
         if (stays) {
             sender.idle++;
         }
     }
 
-    private void settle(Item item, Sender sender, SubmissionReply heard, double took, int outBefore) {
-        item.lastWhy = heard.why();
-        if (heard.kind() == SubmissionReply.Kind.REFUSED && heard.retryAfterMs() > 0) {
-            toldToWait(item, sender, heard);
+    private void handleReply(TrackedOrder order, Sender sender, SubmissionReply reply, double tookMs, int inFlightBefore) {
+        order.lastReason = reply.why();
+        if (reply.kind() == SubmissionReply.Kind.REFUSED && reply.retryAfterMs() > 0) {
+            recordRequestedDelay(order, sender, reply);
         }
-        if (item.over) {
-            orders.remove(item.number);
+        if (order.answered) {
+            orders.remove(order.number);
             return;
         }
-        switch (heard.kind()) {
+        switch (reply.kind()) {
             case ACCEPTED -> {
-                SenderPool.answered(sender);
-                level.answered(now, took, outBefore);
-                item.fruitless = 0;
-                item.taken = true;
+                SenderPool.onAnswer(sender);
+                limit.onAnswer(now, tookMs, inFlightBefore);
+                order.failedInRow = 0;
+                order.accepted = true;
                 if (rules.follows()) {
-                    move(item, item.deadlineMs + rules.graceMs());
+                    setLatestEnd(order, order.deadlineMs + rules.graceMs());
                 } else {
-                    end(item, new End.Taken(sender.name));
+                    end(order, new End.Taken(sender.name));
                 }
             }
             case REFUSED -> {
-                SenderPool.answered(sender);
-                item.firstMs = item.firstBeforeMs;
-                item.again = PreviousSubmission.REFUSED;
-                long until = now + heard.retryAfterMs();
-                if (heard.scope() == SubmissionReply.Scope.SENDER) {
-                    level.pushedBack(now);
+                SenderPool.onAnswer(sender);
+                order.mayHaveRunSinceMs = order.mayHaveRunBeforeSendMs;
+                order.previous = PreviousSubmission.REFUSED;
+                long untilMs = now + reply.retryAfterMs();
+                if (reply.scope() == SubmissionReply.Scope.SENDER) {
+                    limit.onOverload(now);
                 }
-                End refused = new End.Refused(heard.retryAfterMs(), heard.why());
-                boolean elsewhere = heard.scope() == SubmissionReply.Scope.SENDER && fleet.otherThan(now, sender);
-                again(item, elsewhere ? now : heard.retryAfterMs() > 0 ? until : now + pause(item), refused);
+                End refused = new End.Refused(reply.retryAfterMs(), reply.why());
+                boolean elsewhere = reply.scope() == SubmissionReply.Scope.SENDER && pool.hasOther(now, sender);
+                submitAgain(order, elsewhere ? now : reply.retryAfterMs() > 0 ? untilMs : now + pauseMs(order), refused);
             }
             case REJECTED -> {
-                SenderPool.answered(sender);
-                item.firstMs = item.firstBeforeMs;
-                end(item, item.firstMs >= 0 ? new End.Unknown(false, heard.why()) : new End.Failed(false, heard.why()));
+                SenderPool.onAnswer(sender);
+                order.mayHaveRunSinceMs = order.mayHaveRunBeforeSendMs;
+                end(order, order.mayHaveRunSinceMs >= 0 ? new End.Unknown(false, reply.why())
+                        : new End.Failed(false, reply.why()));
             }
             case UNSENT -> {
-                fleet.unanswered(now, sender);
-                item.firstMs = item.firstBeforeMs;
-                again(item, now + pause(item), new End.Failed(false, heard.why()));
+                pool.onUnanswered(now, sender);
+                order.mayHaveRunSinceMs = order.mayHaveRunBeforeSendMs;
+                submitAgain(order, now + pauseMs(order), new End.Failed(false, reply.why()));
             }
             case LOST -> {
-                fleet.unanswered(now, sender);
-                level.pushedBack(now);
-                item.again = PreviousSubmission.UNANSWERED;
-                again(item, now + pause(item), new End.Unknown(false, heard.why()));
+                pool.onUnanswered(now, sender);
+                limit.onOverload(now);
+                order.previous = PreviousSubmission.UNANSWERED;
+                submitAgain(order, now + pauseMs(order), new End.Unknown(false, reply.why()));
             }
         }
     }
 
-    private void toldToWait(Item item, Sender sender, SubmissionReply heard) {
-        long until = now + heard.retryAfterMs();
-        switch (heard.scope()) {
-            case SENDER -> fleet.toldToWait(now, sender, until);
-            case DESTINATION -> destinationWaits.told(now, item.destination, until);
-            case TENANT -> tenantWaits.told(now, item.tenant, until);
+    private void recordRequestedDelay(TrackedOrder order, Sender sender, SubmissionReply reply) {
+        long untilMs = now + reply.retryAfterMs();
+        switch (reply.scope()) {
+            case SENDER -> pool.onRequestedDelay(now, sender, untilMs);
+            case DESTINATION -> destinationDelays.record(now, order.destination, untilMs);
+            case TENANT -> tenantDelays.record(now, order.tenant, untilMs);
         }
     }
 
-    /** Half of a doubled pause, and as much again by chance. */
-    private long pause(Item item) {
-        long whole = Math.min(rules.mostPauseMs(), rules.pauseMs() << Math.min(MOST_DOUBLINGS, item.fruitless));
-        item.fruitless++;
+    /** The pause before the next submission: it doubles each time; half of it is fixed, the other half drawn at random. */
+    private long pauseMs(TrackedOrder order) {
+        long whole = Math.min(rules.mostPauseMs(), rules.pauseMs() << Math.min(MAX_DOUBLINGS, order.failedInRow));
+        order.failedInRow++;
         return whole / 2 + random.nextLong(whole / 2 + 1);
     }
 
-    /** It is handed in again at this time, where it may; else this is its end, now and not later. */
-    private void again(Item item, long atMs, End otherwise) {
-        if (item.cancelled) {
-            end(item, item.firstMs >= 0 ? new End.Unknown(false, "cancelled; " + item.lastWhy)
+    /** Schedules the order to be submitted again at this time. If it may not be, ends it now with {@code otherwise}. */
+    private void submitAgain(TrackedOrder order, long atMs, End otherwise) {
+        if (order.cancelled) {
+            end(order, order.mayHaveRunSinceMs >= 0 ? new End.Unknown(false, "cancelled; " + order.lastReason)
                     : new End.Failed(false, "cancelled"));
             return;
         }
-        park(item, atMs, otherwise);
+        schedule(order, atMs, otherwise);
     }
 
-    private void park(Item item, long atMs, End otherwise) {
-        if (ResubmissionDeadline.until(item.rule, rules, Math.max(now, atMs), item.deadlineMs, item.firstMs)
-                == ResubmissionDeadline.NEVER) {
-            end(item, item.firstMs >= 0 ? over(item, item.lastWhy) : otherwise);
+    private void schedule(TrackedOrder order, long atMs, End otherwise) {
+        if (ResubmissionDeadline.latestRunMs(order.rule, rules, Math.max(now, atMs), order.deadlineMs,
+                order.mayHaveRunSinceMs) == ResubmissionDeadline.NEVER) {
+            end(order, order.mayHaveRunSinceMs >= 0 ? unansweredEnd(order, order.lastReason) : otherwise);
         } else if (atMs <= now) {
-            ready.add(item);
+            ready.add(order);
         } else {
-            item.notBeforeMs = atMs;
-            parked.add(item);
+            order.notBeforeMs = atMs;
+            delayed.add(order);
         }
     }
 
-    private void move(Item item, long endMs) {
-        live.remove(item);
-        item.endMs = endMs;
-        live.add(item);
+    private void setLatestEnd(TrackedOrder order, long latestEndMs) {
+        open.remove(order);
+        order.latestEndMs = latestEndMs;
+        open.add(order);
     }
 
-    private void end(Item item, End end) {
-        if (orders.remove(item.number) == null) {
+    private void end(TrackedOrder order, End end) {
+        if (orders.remove(order.number) == null) {
             return;
         }
-        live.remove(item);
-        ready.remove(item);
-        parked.remove(item);
-        if (item.at != null) {
-            out.remove(item);
-            item.at.busy--;
-            item.at = null;
+        open.remove(order);
+        ready.remove(order);
+        delayed.remove(order);
+        if (order.sender != null) {
+            inFlight.remove(order);
+            order.sender.busy--;
+            order.sender = null;
         }
-        actions.complete(item.number, end);
+        actions.complete(order.number, end);
     }
 }
--- a/src/main/java/slipfield/client/decide/ResubmissionDeadline.java
+++ b/src/main/java/slipfield/client/decide/ResubmissionDeadline.java
@@ -1,35 +1,34 @@
 package slipfield.client.decide;
 
 /**
- * Until when an order may run, if it is handed in now. Two copies of a keyed order may both run as long as they do so
- * within the venue's window of each other: so all that may be out end within one window of the first that may have run.
+ * Computes until when an order that is submitted now may run. Several copies of a keyed order may run if all runs fall within
+ * the venue's window; so every copy must have ended within one window after the first submission that may have run.
  */
 final class ResubmissionDeadline {
-    /** It may not be handed in any more. */
+    /** The order may not be submitted any more. */
     static final long NEVER = Long.MIN_VALUE;
 
     private ResubmissionDeadline() {
     }
 
     /**
-     * The latest time at which a copy that is handed in now may run.
+     * Returns the latest time, in ms, at which a copy that is submitted now may run, or {@link #NEVER}.
      *
-     * @param firstMs when the first hand-in was made that may have been taken; negative: none
-     * @return a time, in ms, or {@link #NEVER}
+     * @param firstMs time of the first submission that a sender may have accepted; negative: there is none
      */
-    static long until(ClassRule rule, Rules rules, long nowMs, long deadlineMs, long firstMs) {
+    static long latestRunMs(ClassRule rule, Rules rules, long nowMs, long deadlineMs, long firstMs) {
         boolean mayHaveRun = firstMs >= 0;
         long until = switch (rule.effect()) {
             case SAFE -> deadlineMs;
             case UNSAFE -> mayHaveRun ? NEVER : deadlineMs;
             case KEYED -> !rule.resendsUnheard() ? mayHaveRun ? NEVER : deadlineMs
-                    : Math.min(deadlineMs, (mayHaveRun ? firstMs : nowMs) + window(rule, rules));
+                    : Math.min(deadlineMs, (mayHaveRun ? firstMs : nowMs) + safeWindowMs(rule, rules));
         };
         return until == NEVER || until - nowMs < rules.leastBudgetMs() ? NEVER : until;
     }
 
-    /** A key's window less what transit and the rates of two clocks may take of it. */
-    static long window(ClassRule rule, Rules rules) {
+    /** The window of a key, reduced by a margin for transit and by the drift between the two clocks. */
+    static long safeWindowMs(ClassRule rule, Rules rules) {
         return rule.windowMs() - rules.marginMs() - (long) Math.ceil(rule.windowMs() * rules.clockRate());
     }
 }
--- a/src/main/java/slipfield/client/decide/RetryAfterTimes.java
+++ b/src/main/java/slipfield/client/decide/RetryAfterTimes.java
@@ -3,22 +3,23 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Told waits, by what they hold for; the longest told holds. */
+/** The delays that senders requested, by what they apply to; of several for one key the latest end applies. */
 final class RetryAfterTimes<K> {
-    private static final int SWEPT_AT = 1024;
+    /** Number of keys from which delays that are over are removed before another one is added. */
+    private static final int CLEANUP_SIZE = 1024;
 
     private final Map<K, Long> until = new HashMap<>();
 
-    /** Nothing goes to this one until then. */
-    void told(long nowMs, K of, long untilMs) {
-        if (until.size() >= SWEPT_AT) {
+    /** Records that nothing may be submitted for this key before {@code untilMs}. */
+    void record(long nowMs, K key, long untilMs) {
+        if (until.size() >= CLEANUP_SIZE) {
             until.values().removeIf(u -> u <= nowMs);
         }
-        until.merge(of, untilMs, Math::max);
+        until.merge(key, untilMs, Math::max);
     }
 
-    /** When the wait of this one is over; now or earlier: it is. */
-    long until(K of) {
-        return until.getOrDefault(of, Long.MIN_VALUE);
+    /** When the delay of this key ends; a time in the past if there is none. */
+    long untilMs(K key) {
+        return until.getOrDefault(key, Long.MIN_VALUE);
     }
 }
--- a/src/main/java/slipfield/client/decide/RetryBudget.java
+++ b/src/main/java/slipfield/client/decide/RetryBudget.java
@@ -1,35 +1,36 @@
 package slipfield.client.decide;
 
 /**
- * How many repeated hand-ins there may be: a token bucket filled by a share of the first ones and by one a second, so that
- * an outage does not multiply what senders are asked. (Envoy, "retry budgets"; Finagle's RetryBudget.)
+ * Limits repeated submissions, so that an outage does not multiply the load on the senders. A token bucket that gains a share
+ * of a token per first submission and one token per second. (Envoy, "retry budgets"; Finagle's RetryBudget.)
  */
 final class RetryBudget {
-    private static final double A_SECOND = 1;
+    private static final double TOKENS_PER_SECOND = 1;
 
     private final double share;
-    private final double most;
+    private final double max;
     private double tokens;
     private long filledMs;
 
-    RetryBudget(double share, double most, long nowMs) {
+    RetryBudget(double share, double max, long nowMs) {
         this.share = share;
-        this.most = most;
-        this.tokens = most;
+        this.max = max;
+        this.tokens = max;
         this.filledMs = nowMs;
     }
 
     private void fill(long nowMs) {
-        tokens = Math.min(most, tokens + (nowMs - filledMs) / 1000.0 * A_SECOND);
+        tokens = Math.min(max, tokens + (nowMs - filledMs) / 1000.0 * TOKENS_PER_SECOND);
         filledMs = nowMs;
     }
 
-    void first() {
-        tokens = Math.min(most, tokens + share);
+    /** Adds the share of a token that a first submission earns. */
+    void onFirstSubmission() {
+        tokens = Math.min(max, tokens + share);
     }
 
-    /** Takes one, if there is one. */
-    boolean take(long nowMs) {
+    /** Takes a token for a repeated submission; false if there is none. */
+    boolean tryTake(long nowMs) {
         fill(nowMs);
         if (tokens < 1) {
             return false;
@@ -38,9 +39,9 @@
         return true;
     }
 
-    /** When there is one, if no first hand-in fills it before; now, if there is one. */
-    long nextMs(long nowMs) {
+    /** When a token is available if no first submission earns one earlier; {@code nowMs} if there is one already. */
+    long nextTokenMs(long nowMs) {
         fill(nowMs);
-        return nowMs + (long) Math.ceil(Math.max(0, 1 - tokens) / A_SECOND * 1000);
+        return nowMs + (long) Math.ceil(Math.max(0, 1 - tokens) / TOKENS_PER_SECOND * 1000);
     }
 }
--- a/src/main/java/slipfield/client/decide/Rules.java
+++ b/src/main/java/slipfield/client/decide/Rules.java
@@ -1,78 +1,81 @@
 package slipfield.client.decide;
 
 /**
- * The figures that a client's decisions go by. All times in ms; what an operator does not set is {@link #DEFAULT}.
+ * The parameters of a client's decisions. All times are in ms. {@link #DEFAULT} holds the default values.
  *
- * @param answerMs so long a hand-in waits for its answer (PROTOCOL: 400)
- * @param marginMs taken off a key's window for transit
- * @param clockRate taken off it too, as a share of it: two clocks do not run alike
- * @param leastBudgetMs an order with less time left is not handed in
- * @param pauseMs before a hand-in after a refusal that told no wait, or after none could be made; doubled by each, jittered
- * @param mostPauseMs never longer than this
- * @param retryShare repeated hand-ins allowed for each first one
- * @param retryBurst repeated hand-ins that may come at once
- * @param leastInFlight hand-ins out at once, at least
- * @param mostInFlight and at most
- * @param mostConnections to one sender
- * @param mostQueued orders that wait to be handed in; one more is refused at once
- * @param spreadMs a lost connection is made anew within so long, unless the sender tells another window
- * @param mostSpreadMs connects that go on failing double the window up to this; a told one is bounded by it too
- * @param trialShare share of clients that connect in the first tenth of the window
- * @param ejectAfter a sender is left alone after so many hand-ins in a row without an answer
- * @param ejectMs for so long, doubled by each time in a row
- * @param mostEjectMs never longer
- * @param returnMs a sender that comes back gets its full part after so long
- * @param drainMs a sender that closes connections in order gets nothing new for so long
- * @param follows whether the ends of taken orders are heard; if not, an order ends when it is taken
- * @param graceMs so long after an order's time its end is still waited for
+ * @param answerMs how long to wait for the answer to a submission (PROTOCOL: 400)
+ * @param marginMs subtracted from a key's window to allow for transit
+ * @param clockRate share of a key's window that is also subtracted, since two clocks do not run at the same rate
+ * @param leastBudgetMs an order with less time left is not submitted
+ * @param pauseMs pause before the next submission after a refusal without a requested delay, or after a failed submission;
+ *     doubled each time, with jitter
+ * @param mostPauseMs upper bound of that pause
+ * @param retryShare repeated submissions allowed per first submission
+ * @param retryBurst repeated submissions that may follow each other at once
+ * @param leastInFlight lower bound of the limit on submissions in flight
+ * @param mostInFlight upper bound of that limit
+ * @param mostConnections connections to one sender at most
+ * @param mostQueued orders that may wait for submission; a further one is refused at once
+ * @param spreadMs window over which lost connections are reopened, unless the sender reports another
+ * @param mostSpreadMs upper bound of the window, both of a reported one and of one that is doubled by failed connects
+ * @param trialShare share of the clients that connect in the first tenth of the window
+ * @param ejectAfter consecutive submissions without an answer after which a sender is ejected, that is, not used
+ * @param ejectMs duration of the first ejection, doubled by each further one in a row
+ * @param mostEjectMs upper bound of that duration
+ * @param returnMs time after which a sender that came back gets its full share of the load
+ * @param drainMs how long a sender that announced the closing of a connection gets no new order
+ * @param follows whether the client learns the final answers of accepted orders; otherwise an order ends when it is accepted
+ * @param graceMs how long after an order's deadline its final answer is still awaited
  */
 public record Rules(long answerMs, long marginMs, double clockRate, long leastBudgetMs, long pauseMs, long mostPauseMs,
         double retryShare, double retryBurst, int leastInFlight, int mostInFlight, int mostConnections, int mostQueued,
         long spreadMs, long mostSpreadMs, double trialShare, int ejectAfter, long ejectMs, long mostEjectMs,
         long returnMs, long drainMs, boolean follows, long graceMs) {
-    /** What holds where nothing is said. */
+    /** The default values. */
     public static final Rules DEFAULT = new Rules(400, 500, 0.001, 20, 50, 2000, 0.2, 20, 4, 256, 64, 10_000, 1000, 10_000,
             0.01, 3, 1000, 30_000, 5000, 3000, false, 2000);
 
-    /** Checks the ranges; the error names the field. */
+    /** Throws {@link IllegalArgumentException}, naming the field, for a value out of range. */
     public Rules {
-        check(answerMs > 0, "answerMs is over 0");
-        check(marginMs >= 0, "marginMs is 0 or more");
-        check(clockRate >= 0 && clockRate < 1, "clockRate is a share under 1");
-        check(leastBudgetMs >= 1, "leastBudgetMs is 1 or more");
-        check(pauseMs >= 1 && mostPauseMs >= pauseMs, "pauseMs is 1 or more, mostPauseMs no less");
-        check(retryShare >= 0 && retryShare <= 1, "retryShare is a share, 0 to 1");
-        check(retryBurst >= 1, "retryBurst is 1 or more");
-        check(leastInFlight >= 1 && mostInFlight >= leastInFlight, "leastInFlight is 1 or more, mostInFlight no less");
-        check(mostConnections >= 1, "mostConnections is 1 or more");
-        check(mostQueued >= 1, "mostQueued is 1 or more");
-        check(spreadMs >= 0 && mostSpreadMs >= spreadMs, "spreadMs is 0 or more, mostSpreadMs no less");
-        check(trialShare >= 0 && trialShare <= 1, "trialShare is a share, 0 to 1");
-        check(ejectAfter >= 1 && ejectMs >= 0 && mostEjectMs >= ejectMs, "ejectAfter is 1 or more, mostEjectMs no less than ejectMs");
-        check(returnMs >= 0 && drainMs >= 0 && graceMs >= 0, "returnMs, drainMs and graceMs are 0 or more");
+        check(answerMs > 0, "answerMs must be over 0");
+        check(marginMs >= 0, "marginMs must be 0 or more");
+        check(clockRate >= 0 && clockRate < 1, "clockRate must be from 0 to under 1");
+        check(leastBudgetMs >= 1, "leastBudgetMs must be 1 or more");
+        check(pauseMs >= 1 && mostPauseMs >= pauseMs, "pauseMs must be 1 or more, mostPauseMs at least pauseMs");
+        check(retryShare >= 0 && retryShare <= 1, "retryShare must be from 0 to 1");
+        check(retryBurst >= 1, "retryBurst must be 1 or more");
+        check(leastInFlight >= 1 && mostInFlight >= leastInFlight,
+                "leastInFlight must be 1 or more, mostInFlight at least leastInFlight");
+        check(mostConnections >= 1, "mostConnections must be 1 or more");
+        check(mostQueued >= 1, "mostQueued must be 1 or more");
+        check(spreadMs >= 0 && mostSpreadMs >= spreadMs, "spreadMs must be 0 or more, mostSpreadMs at least spreadMs");
+        check(trialShare >= 0 && trialShare <= 1, "trialShare must be from 0 to 1");
+        check(ejectAfter >= 1 && ejectMs >= 0 && mostEjectMs >= ejectMs,
+                "ejectAfter must be 1 or more, ejectMs 0 or more, mostEjectMs at least ejectMs");
+        check(returnMs >= 0 && drainMs >= 0 && graceMs >= 0, "returnMs, drainMs and graceMs must be 0 or more");
     }
 
-    private static void check(boolean holds, String rule) {
-        if (!holds) {
-            throw new IllegalArgumentException(rule);
+    private static void check(boolean valid, String message) {
+        if (!valid) {
+            throw new IllegalArgumentException(message);
         }
     }
 
-    /** The same with ends followed or not. */
+    /** A copy that follows the final answers of accepted orders, or does not. */
     public Rules following(boolean follow) {
         return new Rules(answerMs, marginMs, clockRate, leastBudgetMs, pauseMs, mostPauseMs, retryShare, retryBurst,
                 leastInFlight, mostInFlight, mostConnections, mostQueued, spreadMs, mostSpreadMs, trialShare, ejectAfter,
                 ejectMs, mostEjectMs, returnMs, drainMs, follow, graceMs);
     }
 
-    /** The same with connections made anew within this window, in ms. */
-    public Rules spreadOver(long windowMs, double trials) {
+    /** A copy with this reconnect window in ms, and this share of clients that connect in its first tenth. */
+    public Rules spreadOver(long windowMs, double probeShare) {
         return new Rules(answerMs, marginMs, clockRate, leastBudgetMs, pauseMs, mostPauseMs, retryShare, retryBurst,
-                leastInFlight, mostInFlight, mostConnections, mostQueued, windowMs, Math.max(windowMs, mostSpreadMs), trials,
-                ejectAfter, ejectMs, mostEjectMs, returnMs, drainMs, follows, graceMs);
+                leastInFlight, mostInFlight, mostConnections, mostQueued, windowMs, Math.max(windowMs, mostSpreadMs),
+                probeShare, ejectAfter, ejectMs, mostEjectMs, returnMs, drainMs, follows, graceMs);
     }
 
-    /** The same with so many hand-ins out at once, and connections to one sender. */
+    /** A copy with these upper bounds of submissions in flight and of connections to one sender. */
     public Rules atMost(int inFlight, int connections) {
         return new Rules(answerMs, marginMs, clockRate, leastBudgetMs, pauseMs, mostPauseMs, retryShare, retryBurst,
                 Math.min(leastInFlight, inFlight), inFlight, connections, mostQueued, spreadMs, mostSpreadMs, trialShare,
--- a/src/main/java/slipfield/client/decide/Sender.java
+++ b/src/main/java/slipfield/client/decide/Sender.java
@@ -1,38 +1,38 @@
 package slipfield.client.decide;
 
-/** A sender as a client knows it: its connections, what it told, and how it did. */
+/** A client's view of one sender: its connections, its state and its recent failures. */
 final class Sender {
-    /** Whether orders may go to it. */
+    /** The state of the connection to the sender. */
     enum State {
-        /** No connection; one is planned at {@link #connectMs}. */
-        AWAY,
-        /** A connection is being made, or asked whether the sender is ready. */
-        TRIAL,
-        /** It answers. */
+        /** No connection; the next one is opened at {@link #connectMs}. */
+        DISCONNECTED,
+        /** A first connection is being opened, or the sender is being asked on it whether it is ready. */
+        PROBING,
+        /** Connected and ready. */
         UP
     }
 
-    private static final double LEAST_WEIGHT = 0.1;
+    private static final double MIN_WEIGHT = 0.1;
 
     final String name;
-    State state = State.AWAY;
+    State state = State.DISCONNECTED;
     int idle;
     int busy;
     int connecting;
-    /** AWAY: when the trial connection is made. UP: no further one before this. */
+    /** In DISCONNECTED: when the probe connection is opened. In UP: the earliest time of a further connection. */
     long connectMs;
-    /** Connects or looks at its readiness that failed in a row. */
+    /** Consecutive connects or readiness checks that failed. */
     int failures;
-    /** Hand-ins without an answer in a row, and times that it was left alone for them. */
+    /** Consecutive submissions without an answer, and consecutive ejections because of them. */
     int unanswered;
     int ejections;
     long ejectedUntilMs = Long.MIN_VALUE;
     long drainingUntilMs = Long.MIN_VALUE;
-    /** Since when it is up, or back after it was left alone. */
-    long backMs;
-    /** The window that it tells, in ms; negative: it told none. */
-    long toldWindowMs = -1;
-    /** It is on the list. */
+    /** When it came up or its last ejection ends: its share of the load grows from then on. */
+    long slowStartMs;
+    /** The reconnect window that the sender reported, in ms; negative: none. */
+    long reportedWindowMs = -1;
+    /** Whether it is on the current sender list. */
     boolean listed = true;
 
     Sender(String name, long connectMs) {
@@ -48,16 +48,17 @@
         return nowMs < ejectedUntilMs;
     }
 
-    /** It is up, on the list, and does not drain. */
-    boolean serves(long nowMs) {
+    /** Whether it is listed, connected and not draining. */
+    boolean isAvailable(long nowMs) {
         return listed && state == State.UP && nowMs >= drainingUntilMs;
     }
 
-    /** Its part of the load, from a tenth to one: it comes back slowly. */
+    /** Its share of the load, from 0.1 to 1: it grows linearly over {@code returnMs} after the sender came back. */
     double weight(long nowMs, long returnMs) {
-        return returnMs == 0 ? 1 : Math.max(LEAST_WEIGHT, Math.min(1, (nowMs - backMs) / (double) returnMs));
+        return returnMs == 0 ? 1 : Math.max(MIN_WEIGHT, Math.min(1, (nowMs - slowStartMs) / (double) returnMs));
     }
 
+    /** Submissions in flight, one more included, relative to its weight. */
     double load(long nowMs, long returnMs) {
         return (busy + 1) / weight(nowMs, returnMs);
     }
--- a/src/main/java/slipfield/client/decide/SenderPool.java
+++ b/src/main/java/slipfield/client/decide/SenderPool.java
@@ -11,97 +11,98 @@
 import java.util.Set;
 import java.util.random.RandomGenerator;
 
-/** The senders of a client: their connections, which of them gets the next hand-in, who is left alone, and until when. */
+/** The senders of a client: opens their connections, selects the sender of the next submission, and ejects failing ones. */
 final class SenderPool {
-    /** Opens a connection. */
-    interface Connects {
-        void connect(String sender, boolean trial);
+    /** Opens connections. */
+    interface Connector {
+        /** Opens a connection; {@code probe}: and asks on it whether the sender is ready. */
+        void connect(String sender, boolean probe);
     }
 
-    private static final int MOST_DOUBLINGS = 10;
-    /** Connections being made to one sender at once. */
-    private static final int MOST_CONNECTING = 4;
+    private static final int MAX_DOUBLINGS = 10;
+    /** Connections to one sender that may be opening at the same time. */
+    private static final int MAX_CONNECTING = 4;
 
     private final Rules rules;
     private final RandomGenerator random;
-    private final Connects connects;
+    private final Connector connector;
     private final Map<String, Sender> senders = new LinkedHashMap<>();
-    private final RetryAfterTimes<String> waits = new RetryAfterTimes<>();
+    private final RetryAfterTimes<String> requestedDelays = new RetryAfterTimes<>();
 
-    SenderPool(Rules rules, RandomGenerator random, Connects connects) {
+    SenderPool(Rules rules, RandomGenerator random, Connector connector) {
         this.rules = rules;
         this.random = random;
-        this.connects = connects;
+        this.connector = connector;
     }
 
-    /** The whole list, which is not empty; one that left it gets nothing new. */
-    void listed(long now, Collection<String> names) {
+    /** Takes over the complete sender list, which is not empty. A sender that is missing from it gets no new orders. */
+    void updateList(long now, Collection<String> names) {
         Set<String> listed = new HashSet<>(names);
         senders.values().forEach(s -> s.listed = listed.contains(s.name));
         senders.values().removeIf(s -> !s.listed && s.connections() == 0);
         for (String name : listed) {
-            // The first connection of a client's life waits for nothing.
+            // The first connection to a new sender is opened without a delay.
             senders.computeIfAbsent(name, n -> new Sender(n, now));
         }
     }
 
-    Optional<Sender> of(String name) {
+    Optional<Sender> find(String name) {
         return Optional.ofNullable(senders.get(name));
     }
 
-    /** A connection stands. */
-    void connected(long now, Sender sender) {
+    /** A connection to the sender was opened. */
+    void onConnected(long now, Sender sender) {
         sender.connecting = Math.max(0, sender.connecting - 1);
         sender.idle++;
         sender.failures = 0;
         if (sender.state != Sender.State.UP) {
             sender.state = Sender.State.UP;
             sender.unanswered = 0;
-            sender.backMs = now;
-            sender.connectMs = now + refillMs(sender);
+            sender.slowStartMs = now;
+            sender.connectMs = now + refillIntervalMs(sender);
         }
     }
 
-    /** One did not come up. */
-    void connectFailed(long now, Sender sender) {
+    /** A connection to the sender could not be opened, or the sender was not ready. */
+    void onConnectFailed(long now, Sender sender) {
         sender.connecting = Math.max(0, sender.connecting - 1);
         sender.failures++;
-        sender.connectMs = now + (rules.pauseMs() << Math.min(MOST_DOUBLINGS, sender.failures));
-        lost(now, sender);
+        sender.connectMs = now + (rules.pauseMs() << Math.min(MAX_DOUBLINGS, sender.failures));
+        onConnectionLost(now, sender);
     }
 
-    /** It closes connections in order: it gets nothing new for a while. */
-    void drains(long now, Sender sender) {
+    /** The sender announced that it closes a connection: it gets no new orders for {@link Rules#drainMs}. */
+    void onDrain(long now, Sender sender) {
         sender.drainingUntilMs = now + rules.drainMs();
     }
 
-    /** It told to wait until then. */
-    void toldToWait(long now, Sender sender, long untilMs) {
-        waits.told(now, sender.name, untilMs);
+    /** The sender requested that nothing is submitted to it before {@code untilMs}. */
+    void onRequestedDelay(long now, Sender sender, long untilMs) {
+        requestedDelays.record(now, sender.name, untilMs);
     }
 
-    private boolean open(long now, Sender s) {
-        return s.serves(now) && waits.until(s.name) <= now;
+    private boolean acceptsOrders(long now, Sender s) {
+        return s.isAvailable(now) && requestedDelays.untilMs(s.name) <= now;
     }
 
-    /** When something changes here by itself; {@code wanted}: orders wait for a sender. */
-    long nextMs(long now, boolean wanted) {
+    /** When this pool next has something to do without a further event. {@code waiting}: whether orders wait for a sender. */
+    long nextTickMs(long now, boolean waiting) {
         long next = Long.MAX_VALUE;
         for (Sender s : senders.values()) {
-            if (s.listed && s.state == Sender.State.AWAY) {
+            if (s.listed && s.state == Sender.State.DISCONNECTED) {
                 next = Math.min(next, s.connectMs);
             }
-            if (wanted) {
-                next = Math.min(next, opensMs(now, s));
+            if (waiting) {
+                next = Math.min(next, nextChangeMs(now, s));
             }
         }
         return next;
     }
 
-    /** When something changes at this sender for orders that are ready: a time after now. */
-    private long opensMs(long now, Sender s) {
+    /** The next time after now at which this sender may become usable for waiting orders; {@link Long#MAX_VALUE}: none. */
+    private long nextChangeMs(long now, Sender s) {
         long next = Long.MAX_VALUE;
-        for (long at : new long[] {s.ejectedUntilMs, s.drainingUntilMs, waits.until(s.name),
+        for (long at : new long[] {s.ejectedUntilMs, s.drainingUntilMs, requestedDelays.untilMs(s.name),
                 s.state == Sender.State.UP && s.connections() < rules.mostConnections() ? s.connectMs : 0}) {
             if (at > now) {
                 next = Math.min(next, at);
@@ -110,32 +111,34 @@
         return next;
     }
 
-    /** Makes the connections that are due. */
-    void connect(long now) {
+    /** Opens the probe connections that are due. */
+    void openDueConnections(long now) {
         for (Sender s : senders.values()) {
-            if (s.listed && s.state == Sender.State.AWAY && s.connectMs <= now) {
-                s.state = Sender.State.TRIAL;
+            if (s.listed && s.state == Sender.State.DISCONNECTED && s.connectMs <= now) {
+                s.state = Sender.State.PROBING;
                 s.connecting++;
-                connects.connect(s.name, true);
+                connector.connect(s.name, true);
             }
         }
     }
 
     /**
-     * The less loaded of two (Mitzenmacher 2001, "The power of two choices"), of those with an idle connection; null where
-     * there is none, though one may be on its way. {@code waiting}: orders that want one.
+     * Selects a sender with an idle connection: the less loaded of two random ones (Mitzenmacher 2001, "The power of two
+     * choices"). Returns null if there is none; a connection may then be opening.
+     *
+     * @param waiting number of orders that wait for a sender
      */
-    Sender pick(long now, int waiting) {
+    Sender select(long now, int waiting) {
         List<Sender> usable = new ArrayList<>();
-        List<Sender> leftAlone = new ArrayList<>();
+        List<Sender> ejected = new ArrayList<>();
         for (Sender s : senders.values()) {
-            if (open(now, s)) {
-                (s.ejected(now) ? leftAlone : usable).add(s);
+            if (acceptsOrders(now, s)) {
+                (s.ejected(now) ? ejected : usable).add(s);
             }
         }
-        if (usable.isEmpty() && !leftAlone.isEmpty()) {
-            // Left alone is better than none: the one whose time is over first.
-            usable.add(leftAlone.stream().min(Comparator.comparingLong(s -> s.ejectedUntilMs)).orElseThrow());
+        if (usable.isEmpty() && !ejected.isEmpty()) {
+            // If all are ejected, the one whose ejection ends first is used rather than none.
+            usable.add(ejected.stream().min(Comparator.comparingLong(s -> s.ejectedUntilMs)).orElseThrow());
         }
         for (Sender s : usable) {
             grow(now, s, waiting);
@@ -151,28 +154,31 @@
         return a.load(now, rules.returnMs()) <= b.load(now, rules.returnMs()) ? a : b;
     }
 
-    /** Opens a further connection where all are busy: after a return one by one over the window, then as needed. */
+    /**
+     * Opens a further connection to a sender without an idle one. After the sender came back, connections are opened one at
+     * a time, spread over the reconnect window; later up to {@link #MAX_CONNECTING} at a time.
+     */
     private void grow(long now, Sender s, int waiting) {
-        boolean refilling = now - s.backMs < window(s);
-        int atOnce = refilling ? 1 : MOST_CONNECTING;
-        if (s.idle == 0 && s.connections() < rules.mostConnections() && s.connecting < atOnce && now >= s.connectMs
+        boolean refilling = now - s.slowStartMs < windowMs(s);
+        int maxConnecting = refilling ? 1 : MAX_CONNECTING;
+        if (s.idle == 0 && s.connections() < rules.mostConnections() && s.connecting < maxConnecting && now >= s.connectMs
                 && s.connecting < waiting) {
             s.connecting++;
-            s.connectMs = refilling ? now + refillMs(s) : now;
-            connects.connect(s.name, false);
+            s.connectMs = refilling ? now + refillIntervalMs(s) : now;
+            connector.connect(s.name, false);
         }
     }
 
-    private long window(Sender s) {
-        return s.toldWindowMs >= 0 ? s.toldWindowMs : rules.spreadMs();
+    private long windowMs(Sender s) {
+        return s.reportedWindowMs >= 0 ? s.reportedWindowMs : rules.spreadMs();
     }
 
-    private long refillMs(Sender s) {
-        return window(s) / rules.mostConnections();
+    private long refillIntervalMs(Sender s) {
+        return windowMs(s) / rules.mostConnections();
     }
 
-    /** A connection is gone: where it was the last, the next one is planned. */
-    void lost(long now, Sender sender) {
+    /** A connection to the sender is gone. If it was the last one, a new one is scheduled, or an unlisted sender removed. */
+    void onConnectionLost(long now, Sender sender) {
         if (sender.connections() > 0) {
             return;
         }
@@ -180,51 +186,51 @@
             senders.remove(sender.name);
             return;
         }
-        sender.state = Sender.State.AWAY;
+        sender.state = Sender.State.DISCONNECTED;
         sender.connectMs = Math.max(sender.drainingUntilMs, now)
-                + ReconnectBackoff.delay(rules, window(sender), sender.failures, random);
+                + ReconnectBackoff.delayMs(rules, windowMs(sender), sender.failures, random);
     }
 
-    /** Whether another one may be asked, now or once it is up: one that told no wait. */
-    boolean otherThan(long now, Sender sender) {
+    /** Whether another listed sender, connected or not, has no requested delay. */
+    boolean hasOther(long now, Sender sender) {
         for (Sender s : senders.values()) {
-            if (s != sender && s.listed && waits.until(s.name) <= now) {
+            if (s != sender && s.listed && requestedDelays.untilMs(s.name) <= now) {
                 return true;
             }
         }
         return false;
     }
 
-    /** It answered. */
-    static void answered(Sender sender) {
+    /** The sender answered a submission. */
+    static void onAnswer(Sender sender) {
         sender.unanswered = 0;
         sender.ejections = 0;
     }
 
-    /** It did not. */
-    void unanswered(long now, Sender sender) {
+    /** A submission to the sender got no answer. After {@link Rules#ejectAfter} in a row the sender is ejected. */
+    void onUnanswered(long now, Sender sender) {
         if (++sender.unanswered >= rules.ejectAfter()) {
             sender.unanswered = 0;
-            long ms = Math.min(rules.mostEjectMs(), rules.ejectMs() << Math.min(MOST_DOUBLINGS, sender.ejections));
+            long ms = Math.min(rules.mostEjectMs(), rules.ejectMs() << Math.min(MAX_DOUBLINGS, sender.ejections));
             sender.ejections++;
             sender.ejectedUntilMs = now + ms;
-            sender.backMs = sender.ejectedUntilMs;
+            sender.slowStartMs = sender.ejectedUntilMs;
         }
     }
 
-    /** Where every sender has told to wait, when the first of them is open; never where one has not. */
-    Optional<Long> opensMs(long now) {
-        long opens = Long.MAX_VALUE;
+    /** If every listed sender requested a delay that is not over: when the first of these delays ends; otherwise empty. */
+    Optional<Long> allDelayedUntilMs(long now) {
+        long earliest = Long.MAX_VALUE;
         for (Sender s : senders.values()) {
             if (!s.listed) {
                 continue;
             }
-            if (!s.serves(now) || waits.until(s.name) <= now) {
-                // Away, or about to drain: when it serves again nobody told.
+            if (!s.isAvailable(now) || requestedDelays.untilMs(s.name) <= now) {
+                // It has no requested delay, or it is away or draining and it is not known when it accepts orders again.
                 return Optional.empty();
             }
-            opens = Math.min(opens, waits.until(s.name));
+            earliest = Math.min(earliest, requestedDelays.untilMs(s.name));
         }
-        return opens == Long.MAX_VALUE ? Optional.empty() : Optional.of(opens);
+        return earliest == Long.MAX_VALUE ? Optional.empty() : Optional.of(earliest);
     }
 }
--- a/src/main/java/slipfield/client/decide/SubmissionReply.java
+++ b/src/main/java/slipfield/client/decide/SubmissionReply.java
@@ -1,58 +1,58 @@
 package slipfield.client.decide;
 
 /**
- * What became of one hand-in.
+ * The result of one submission of an order to a sender.
  *
- * @param retryAfterMs REFUSED: the time told to come back after, in ms; 0: none was told
- * @param scope REFUSED: what the wait holds for
- * @param why for people
+ * @param retryAfterMs for REFUSED: the delay that the sender requested, in ms; 0: none
+ * @param scope for REFUSED: what the requested delay applies to
+ * @param why a reason for display
  */
 public record SubmissionReply(Kind kind, long retryAfterMs, Scope scope, String why) {
-    /** What it proves. */
+    /** What the result says about the order. */
     public enum Kind {
-        /** A sender has it. */
+        /** A sender has accepted it. */
         ACCEPTED,
-        /** It was not taken, and may be handed in again. */
+        /** It was not accepted, and may be submitted again. */
         REFUSED,
-        /** It was not taken, and never will be as it is. */
+        /** It was not accepted, and will not be unless it is changed. */
         REJECTED,
-        /** Its last byte was never written. */
+        /** It was not written completely, so no sender can have accepted it. */
         UNSENT,
-        /** Nothing is known: it may be taken. */
+        /** No conclusive answer came: it may have been accepted. */
         LOST
     }
 
-    /** What a told wait holds for. */
+    /** What a requested delay applies to. */
     public enum Scope {
-        /** The sender that told it. */
+        /** All orders to the sender that requested it. */
         SENDER,
-        /** The order's destination, at every sender. */
+        /** All orders to the order's destination, at every sender. */
         DESTINATION,
-        /** The order's tenant, at every sender. */
+        /** All orders of the order's tenant, at every sender. */
         TENANT
     }
 
-    /** Taken. */
+    /** The sender accepted the order. */
     public static SubmissionReply accepted() {
         return new SubmissionReply(Kind.ACCEPTED, 0, Scope.SENDER, "");
     }
 
-    /** Refused, with a wait in ms, or 0. */
+    /** The sender refused the order and requested this delay in ms; 0 or less: it requested none. */
     public static SubmissionReply refused(long retryAfterMs, Scope scope, String why) {
         return new SubmissionReply(Kind.REFUSED, Math.max(0, retryAfterMs), scope, why);
     }
 
-    /** Not taken as it is. */
+    /** The sender will not accept the order unless it is changed. */
     public static SubmissionReply rejected(String why) {
         return new SubmissionReply(Kind.REJECTED, 0, Scope.SENDER, why);
     }
 
-    /** Never written whole. */
+    /** The order was not written completely. */
     public static SubmissionReply unsent(String why) {
         return new SubmissionReply(Kind.UNSENT, 0, Scope.SENDER, why);
     }
 
-    /** Written whole, and not answered in a way that tells. */
+    /** The order was written completely, and no conclusive answer came. */
     public static SubmissionReply lost(String why) {
         return new SubmissionReply(Kind.LOST, 0, Scope.SENDER, why);
     }
--- a/src/main/java/slipfield/client/decide/package-info.java
+++ b/src/main/java/slipfield/client/decide/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What a client of senders decides: whether an order may be handed in again, where and when; how many are in flight; when
- * connections are made anew. Pure: no I/O, no clock but the time it is told, nothing of the rest of the project.
+ * The decisions of a client of senders: whether an order may be submitted again, to which sender and when; how many
+ * submissions are in flight; when connections are reopened. Pure logic: no I/O, no clock (callers pass the time), and no
+ * dependency on the rest of the project.
  */
 package slipfield.client.decide;
--- a/src/test/java/slipfield/client/decide/SenderSimulation.java
+++ b/src/test/java/slipfield/client/decide/SenderSimulation.java
@@ -10,31 +10,31 @@
 import java.util.SplittableRandom;
 
 /**
- * Senders and venues that fail by a seed, and a checker of what a tracker does among them. What the checker asks for is
- * written from the rules anew, by what really happened here; nothing of it is read from the tracker.
+ * Simulates senders and venues that fail at random, from a seed, and checks what an order tracker does with them. The checks
+ * implement the rules a second time, from what happened in the simulation; they read no state of the tracker.
  */
 final class SenderSimulation implements OrderTracker.Actions {
-    /** What a tracker is broken by, to see that the checker finds it. */
-    enum Defect { NOTHING, UNSAFE_AS_SAFE, WINDOW_TOO_LONG, WHOLE_TIME_AS_BUDGET, WAITS_IGNORED, LOST_AS_REFUSED }
+    /** Defects that are built in on purpose, to see that the checks find them. */
+    enum Defect { NOTHING, UNSAFE_AS_SAFE, WINDOW_TOO_LONG, WHOLE_TIME_AS_BUDGET, DELAYS_IGNORED, LOST_AS_REFUSED }
 
     private static final long WINDOW_MS = 10_000;
-    private static final long LAST_MS = 90_000;
+    private static final long DURATION_MS = 90_000;
 
     private final SplittableRandom random;
-    private final Defect broken;
+    private final Defect defect;
     private final Rules rules;
     private final OrderTracker tracker;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final Map<Long, Order> orders = new HashMap<>();
     private final Map<String, Node> nodes = new HashMap<>();
-    private final Map<String, Long> waits = new HashMap<>();
-    private final List<String> faults = new ArrayList<>();
+    private final Map<String, Long> requestedDelays = new HashMap<>();
+    private final List<String> violations = new ArrayList<>();
     private long now;
     private long sequence;
     int sends;
     int resends;
 
-    private record Event(long at, long sequence, Runnable what) implements Comparable<Event> {
+    private record Event(long at, long sequence, Runnable action) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
             return at != other.at ? Long.compare(at, other.at) : Long.compare(sequence, other.sequence);
@@ -57,12 +57,12 @@
         final String destination;
         final String tenant;
         final long deadline;
-        int out;
+        int attemptInFlight;
         boolean ended;
         End end;
-        /** When each copy ran, or will. */
+        /** When each accepted copy runs. */
         final List<Long> runs = new ArrayList<>();
-        /** Of hand-ins that were not answered by a proof that they were not taken: when they were made. */
+        /** Submission times, by attempt, of those not known to have been turned down: each may have run. */
         final Map<Integer, Long> mayHaveRun = new HashMap<>();
         final Set<Integer> abandoned = new HashSet<>();
         boolean cancelled;
@@ -75,9 +75,9 @@
         }
     }
 
-    SenderSimulation(long seed, Defect broken, boolean follows) {
+    SenderSimulation(long seed, Defect defect, boolean follows) {
         this.random = new SplittableRandom(seed);
-        this.broken = broken;
+        this.defect = defect;
         this.rules = Rules.DEFAULT.following(follows).spreadOver(200 + random.nextInt(1500), 0.1)
                 .atMost(4 + random.nextInt(30), 1 + random.nextInt(8));
         this.tracker = new OrderTracker(rules, random.split(), 0, this);
@@ -87,16 +87,16 @@
         }
     }
 
-    /** Plays it; returns what was done against the rules. */
-    List<String> play() {
+    /** Runs the simulation; returns the violations found. */
+    List<String> run() {
         tracker.updateSenders(0, List.copyOf(nodes.keySet()));
-        int many = 5 + random.nextInt(40);
-        for (int i = 0; i < many; i++) {
+        int count = 5 + random.nextInt(40);
+        for (int i = 0; i < count; i++) {
             long number = i;
             in(random.nextInt(30_000), () -> submit(number));
         }
         for (Node node : nodes.values()) {
-            trouble(node);
+            scheduleFailures(node);
         }
         if (random.nextInt(4) == 0) {
             in(random.nextInt(30_000), () -> tracker.updateSenders(now, List.of()));
@@ -104,39 +104,39 @@
         if (random.nextInt(10) == 0) {
             in(random.nextInt(30_000), () -> tracker.close(now));
         }
-        while (now < LAST_MS && faults.isEmpty()) {
+        while (now < DURATION_MS && violations.isEmpty()) {
             long next = Math.max(now, Math.min(tracker.nextTickMs(), events.isEmpty() ? Long.MAX_VALUE : events.peek().at));
-            if (next > LAST_MS) {
+            if (next > DURATION_MS) {
                 break;
             }
             now = next;
             tracker.tick(now);
             while (!events.isEmpty() && events.peek().at <= now) {
-                events.poll().what.run();
+                events.poll().action.run();
             }
-            tracker.tick(told());
+            tracker.tick(reportedNow());
             tracker.tick(now);
-            fault(tracker.nextTickMs() <= now, "the tracker has something to do at once, and does it not");
+            violationIf(tracker.nextTickMs() <= now, "the tracker did not do something that was due");
         }
         orders.forEach((number, o) -> {
             if (!o.ended) {
-                faults.add(number + " has no end");
+                violations.add(number + " has no final answer");
             }
             checkRuns(number, o);
         });
-        return faults;
+        return violations;
     }
 
-    /** The time, or now and then an earlier one: a clock that is set back must change nothing. */
-    private long told() {
+    /** The current time, or sometimes an earlier one: a clock that is set back must not matter. */
+    private long reportedNow() {
         return random.nextInt(20) == 0 ? now - random.nextInt(5000) : now;
     }
 
-    private void in(long ms, Runnable what) {
-        events.add(new Event(now + ms, sequence++, what));
+    private void in(long ms, Runnable action) {
+        events.add(new Event(now + ms, sequence++, action));
     }
 
-    private void trouble(Node node) {
+    private void scheduleFailures(Node node) {
         long at = 0;
         while (at < 40_000) {
             at += 500 + random.nextInt(12_000);
@@ -149,7 +149,7 @@
                     int open = node.connections;
                     node.connections = 0;
                     for (int i = 0; i < open; i++) {
-                        tracker.onConnectionClosed(told(), node.name, random.nextInt(5) == 0);
+                        tracker.onConnectionClosed(reportedNow(), node.name, random.nextInt(5) == 0);
                     }
                 }
             });
@@ -168,12 +168,12 @@
         orders.put(number, order);
         ClassRule rule = switch (effect) {
             case SAFE -> ClassRule.safe();
-            case UNSAFE -> broken == Defect.UNSAFE_AS_SAFE ? ClassRule.safe() : ClassRule.unsafe();
-            case KEYED -> broken == Defect.WINDOW_TOO_LONG ? ClassRule.keyed(4 * WINDOW_MS)
-                    : broken == Defect.WHOLE_TIME_AS_BUDGET ? ClassRule.safe()
+            case UNSAFE -> defect == Defect.UNSAFE_AS_SAFE ? ClassRule.safe() : ClassRule.unsafe();
+            case KEYED -> defect == Defect.WINDOW_TOO_LONG ? ClassRule.keyed(4 * WINDOW_MS)
+                    : defect == Defect.WHOLE_TIME_AS_BUDGET ? ClassRule.safe()
                     : new ClassRule(Effect.KEYED, WINDOW_MS, random.nextInt(4) > 0);
         };
-        tracker.submit(told(), number, rule, order.destination, order.tenant, within);
+        tracker.submit(reportedNow(), number, rule, order.destination, order.tenant, within);
         if (random.nextInt(10) == 0) {
             in(random.nextInt(3000), () -> {
                 if (!order.ended && tracker.cancel(now, number)) {
@@ -184,91 +184,93 @@
     }
 
     @Override
-    public void send(long number, int attempt, String sender, long budgetMs, OrderTracker.PreviousSubmission again) {
+    public void send(long number, int attempt, String sender, long budgetMs, OrderTracker.PreviousSubmission previous) {
         sends++;
         Order o = orders.get(number);
-        fault(o.ended, number + " is handed in after its end");
-        fault(o.out != 0, number + " is handed in while it is out");
-        fault(o.cancelled, number + " is handed in though it was called off");
-        fault(budgetMs < 1 || now + budgetMs > o.deadline, number + " is handed in past its time");
+        violationIf(o.ended, number + " is submitted after its final answer");
+        violationIf(o.attemptInFlight != 0, number + " is submitted while a submission is in flight");
+        violationIf(o.cancelled, number + " is submitted although it was cancelled");
+        violationIf(budgetMs < 1 || now + budgetMs > o.deadline, number + " is submitted with a budget beyond its deadline");
         for (String scope : List.of(sender, o.destination, o.tenant)) {
-            fault(waits.getOrDefault(scope, 0L) > now, number + " is handed in though " + scope + " waits");
+            violationIf(requestedDelays.getOrDefault(scope, 0L) > now,
+                    number + " is submitted although a delay was requested for " + scope);
         }
         if (!o.mayHaveRun.isEmpty()) {
             resends++;
-            fault(o.effect == Effect.UNSAFE, number + " is unsafe, may have run, and is handed in again");
+            violationIf(o.effect == Effect.UNSAFE, number + " is unsafe, may have run, and is submitted again");
             long first = o.mayHaveRun.values().stream().mapToLong(Long::longValue).min().orElseThrow();
-            fault(o.effect == Effect.KEYED && now + budgetMs > first + WINDOW_MS, number + " is handed in past its window");
-            fault(again != OrderTracker.PreviousSubmission.UNANSWERED
-                    && again != OrderTracker.PreviousSubmission.REFUSED, number + " is not marked");
+            violationIf(o.effect == Effect.KEYED && now + budgetMs > first + WINDOW_MS,
+                    number + " is submitted with a budget beyond its window");
+            violationIf(previous != OrderTracker.PreviousSubmission.UNANSWERED
+                    && previous != OrderTracker.PreviousSubmission.REFUSED, number + " is not marked as a repeat");
         }
-        o.out = attempt;
+        o.attemptInFlight = attempt;
         o.mayHaveRun.put(attempt, now);
         Node node = nodes.get(sender);
-        long there = 1 + random.nextInt(30);
+        long latency = 1 + random.nextInt(30);
         int luck = random.nextInt(100);
         if (!node.up) {
-            in(there, () -> answer(number, attempt, sender, SubmissionReply.lost("reset"), false));
+            in(latency, () -> answer(number, attempt, sender, SubmissionReply.lost("reset"), false));
         } else if (node.silent) {
             if (luck < 30) {
-                in(there, () -> take(number, attempt, budgetMs));
+                in(latency, () -> accept(number, attempt, budgetMs));
             }
         } else if (luck < 55) {
-            in(there, () -> {
-                take(number, attempt, budgetMs);
+            in(latency, () -> {
+                accept(number, attempt, budgetMs);
                 answer(number, attempt, sender, SubmissionReply.accepted(), random.nextInt(10) > 0);
             });
         } else if (luck < 75) {
             SubmissionReply.Scope scope = SubmissionReply.Scope.values()[random.nextInt(3)];
-            long wait = random.nextInt(4) == 0 ? 1_000_000_000_000L : random.nextInt(3) == 0 ? 0 : random.nextInt(3000);
-            in(there, () -> {
-                if (o.out == attempt) {
-                    String of = switch (scope) {
+            long delay = random.nextInt(4) == 0 ? 1_000_000_000_000L : random.nextInt(3) == 0 ? 0 : random.nextInt(3000);
+            in(latency, () -> {
+                if (o.attemptInFlight == attempt) {
+                    String key = switch (scope) {
                         case SENDER -> sender;
                         case DESTINATION -> o.destination;
                         case TENANT -> o.tenant;
                     };
-                    if (wait > 0) {
-                        waits.merge(of, now + wait, Math::max);
+                    if (delay > 0) {
+                        requestedDelays.merge(key, now + delay, Math::max);
                     }
                 }
                 answer(number, attempt, sender,
-                        SubmissionReply.refused(broken == Defect.WAITS_IGNORED ? 0 : wait, scope, "busy"), true);
+                        SubmissionReply.refused(defect == Defect.DELAYS_IGNORED ? 0 : delay, scope, "busy"), true);
             });
         } else if (luck < 80) {
-            in(there, () -> answer(number, attempt, sender, SubmissionReply.unsent("broke before its last byte"), false));
+            in(latency, () -> answer(number, attempt, sender, SubmissionReply.unsent("broke before its last byte"), false));
         } else if (luck < 83) {
-            in(there, () -> answer(number, attempt, sender, SubmissionReply.rejected("400"), true));
+            in(latency, () -> answer(number, attempt, sender, SubmissionReply.rejected("400"), true));
         } else if (luck < 92) {
-            in(there, () -> {
-                take(number, attempt, budgetMs);
-                answer(number, attempt, sender, broken == Defect.LOST_AS_REFUSED
+            in(latency, () -> {
+                accept(number, attempt, budgetMs);
+                answer(number, attempt, sender, defect == Defect.LOST_AS_REFUSED
                         ? SubmissionReply.refused(0, SubmissionReply.Scope.DESTINATION, "")
                         : SubmissionReply.lost("closed"), false);
             });
         } else if (luck < 96) {
-            in(there + 400, () -> take(number, attempt, budgetMs));
+            in(latency + 400, () -> accept(number, attempt, budgetMs));
         }
     }
 
-    private void answer(long number, int attempt, String sender, SubmissionReply heard, boolean stays) {
+    private void answer(long number, int attempt, String sender, SubmissionReply reply, boolean stays) {
         Order o = orders.get(number);
-        if (o.abandoned.contains(attempt) || o.out != attempt) {
+        if (o.abandoned.contains(attempt) || o.attemptInFlight != attempt) {
             return;
         }
-        o.out = 0;
-        boolean proof = heard.kind() != SubmissionReply.Kind.LOST && heard.kind() != SubmissionReply.Kind.ACCEPTED;
-        if (proof && broken != Defect.LOST_AS_REFUSED) {
+        o.attemptInFlight = 0;
+        boolean notAccepted = reply.kind() != SubmissionReply.Kind.LOST && reply.kind() != SubmissionReply.Kind.ACCEPTED;
+        if (notAccepted && defect != Defect.LOST_AS_REFUSED) {
             o.mayHaveRun.remove(attempt);
         }
         if (!stays) {
             nodes.get(sender).connections = Math.max(0, nodes.get(sender).connections - 1);
         }
-        tracker.onReply(told(), number, attempt, heard, stays, false);
+        tracker.onReply(reportedNow(), number, attempt, reply, stays, false);
     }
 
-    /** A sender has it: it runs once, or not, within its budget; and the client may hear of its end. */
-    private void take(long number, int attempt, long budgetMs) {
+    /** A sender accepts the order: it runs once within its budget or not at all, and the client may learn its final answer. */
+    private void accept(long number, int attempt, long budgetMs) {
         Order o = orders.get(number);
         long at = now + (random.nextInt(3) == 0 ? (long) (random.nextDouble() * budgetMs) : Math.min(budgetMs, 20));
         int luck = random.nextInt(10);
@@ -282,10 +284,10 @@
                     return;
                 }
                 if (!runs && luck == 8) {
-                    // Not run, and proved so: this copy is out of the account.
+                    // The client learns that this copy did not run.
                     o.mayHaveRun.remove(attempt);
                 }
-                tracker.onFinalAnswer(told(), number, attempt, runs ? new End.Delivered()
+                tracker.onFinalAnswer(reportedNow(), number, attempt, runs ? new End.Delivered()
                         : luck == 8 ? new End.Refused(random.nextInt(500), "")
                         : new End.Failed(true, "dead"));
             });
@@ -295,8 +297,8 @@
     @Override
     public void abandon(long number, int attempt) {
         Order o = orders.get(number);
-        fault(o.out != attempt, number + " is abandoned, and is not out");
-        o.out = 0;
+        violationIf(o.attemptInFlight != attempt, number + " is abandoned without a submission in flight");
+        o.attemptInFlight = 0;
         o.abandoned.add(attempt);
     }
 
@@ -306,9 +308,9 @@
             Node node = nodes.get(sender);
             if (node.up && !(probe && node.silent)) {
                 node.connections++;
-                tracker.onConnected(told(), sender);
+                tracker.onConnected(reportedNow(), sender);
             } else {
-                tracker.onConnectFailed(told(), sender);
+                tracker.onConnectFailed(reportedNow(), sender);
             }
         });
     }
@@ -316,28 +318,28 @@
     @Override
     public void complete(long number, End end) {
         Order o = orders.get(number);
-        fault(o.ended, number + " has a second end");
+        violationIf(o.ended, number + " has a second final answer");
         o.ended = true;
         o.end = end;
-        fault(now > o.deadline + rules.graceMs(), number + " ends late");
+        violationIf(now > o.deadline + rules.graceMs(), number + " gets its final answer late");
     }
 
     private void checkRuns(long number, Order o) {
         if (o.runs.isEmpty()) {
-            fault(o.end instanceof End.Delivered, number + " did not run, and is told as delivered");
+            violationIf(o.end instanceof End.Delivered, number + " did not run, but is reported as delivered");
             return;
         }
         long first = o.runs.stream().mapToLong(Long::longValue).min().orElseThrow();
         long last = o.runs.stream().mapToLong(Long::longValue).max().orElseThrow();
-        fault(o.effect == Effect.UNSAFE && o.runs.size() > 1, number + " ran twice");
-        fault(o.effect == Effect.KEYED && last - first > WINDOW_MS, number + " ran again past its window");
-        fault(o.end instanceof End.Refused || o.end instanceof End.Failed failed && !failed.mayHaveRun(),
-                number + " ran, and is told as " + o.end);
+        violationIf(o.effect == Effect.UNSAFE && o.runs.size() > 1, number + " ran twice");
+        violationIf(o.effect == Effect.KEYED && last - first > WINDOW_MS, number + " ran again after its window");
+        violationIf(o.end instanceof End.Refused || o.end instanceof End.Failed failed && !failed.mayHaveRun(),
+                number + " ran, but is reported as " + o.end);
     }
 
-    private void fault(boolean is, String what) {
-        if (is) {
-            faults.add(now + " ms: " + what);
+    private void violationIf(boolean violated, String what) {
+        if (violated) {
+            violations.add(now + " ms: " + what);
         }
     }
 }
