--- a/src/main/java/slipfield/amqp/decide/Backpressure.java
+++ b/src/main/java/slipfield/amqp/decide/Backpressure.java
@@ -7,101 +7,101 @@
 import java.util.Set;
 
 /**
- * Who is read. A publisher's connection is paused when it has as much unsettled as it may have by itself; when all of them
- * together have more than they may, those are paused that have more than an even share. Each is read again at half of the
- * mark that paused it, so that none goes to and fro at each message. A share shrinks as more connections come, and those
- * who came first keep what they have: so all together never have more than twice their mark.
+ * Decides which publishers' connections are read. A connection is paused when its unsettled messages reach the limit per
+ * connection, or when all connections together reach the total limit and it has at least an equal share of it. It is read
+ * again below half of the limit that paused it, so that it does not change state with every message. The equal share shrinks
+ * as more connections publish, while earlier ones keep what they have; all together never exceed twice the total limit.
  */
 public final class Backpressure {
-    /** What is unsettled. */
+    /** Unsettled messages and their octets, or a limit of both. */
     public record Load(int messages, long octets) {
         private static final Load NONE = new Load(0, 0);
 
-        private boolean over(Load mark) {
-            return messages >= mark.messages || octets >= mark.octets;
+        private boolean reaches(Load limit) {
+            return messages >= limit.messages || octets >= limit.octets;
         }
 
-        private Load part(int of) {
-            return new Load(Math.max(1, messages / of), Math.max(1, octets / of));
+        private Load dividedBy(int divisor) {
+            return new Load(Math.max(1, messages / divisor), Math.max(1, octets / divisor));
         }
     }
 
-    private final Load mostEach;
-    private final Load mostAll;
+    private final Load perConnection;
+    private final Load total;
     private final Map<Integer, Load> loads = new LinkedHashMap<>();
     private final Set<Integer> paused = new HashSet<>();
-    private final Map<Integer, Long> begun = new HashMap<>();
-    private long begunOctets;
+    private final Map<Integer, Long> partialOctets = new HashMap<>();
+    private long allPartialOctets;
     private int messages;
     private long octets;
 
-    /** Marks for one connection and for all. */
-    public Backpressure(Load mostEach, Load mostAll) {
-        this.mostEach = mostEach;
-        this.mostAll = mostAll;
+    /** Limits of one connection and of all connections together. */
+    public Backpressure(Load perConnection, Load total) {
+        this.perConnection = perConnection;
+        this.total = total;
     }
 
-    /** So much more (or, negative, less) of a connection is unsettled; whether it is to be read from now on. */
+    /** Adds to a connection's unsettled load (negative: subtracts); returns whether the connection is to be read now. */
     public boolean addLoad(int connection, int moreMessages, long moreOctets) {
-        Load was = loads.getOrDefault(connection, Load.NONE);
-        Load is = new Load(was.messages + moreMessages, was.octets + moreOctets);
+        Load before = loads.getOrDefault(connection, Load.NONE);
+        Load current = new Load(before.messages + moreMessages, before.octets + moreOctets);
         messages += moreMessages;
         octets += moreOctets;
-        if (is.messages == 0) {
+        if (current.messages == 0) {
             loads.remove(connection);
         } else {
-            loads.put(connection, is);
+            loads.put(connection, current);
         }
         return mayRead(connection);
     }
 
-    /** Whether a connection is to be read now. */
+    /** Whether a connection is to be read now; pauses or resumes it accordingly. */
     public boolean mayRead(int connection) {
-        Load is = loads.getOrDefault(connection, Load.NONE);
+        Load current = loads.getOrDefault(connection, Load.NONE);
         Load all = new Load(messages, octets);
-        Load share = mostAll.part(Math.max(1, loads.size()));
-        boolean over = paused.contains(connection)
-                ? is.over(mostEach.part(2)) || all.over(mostAll.part(2)) && is.over(share.part(2))
-                : is.over(mostEach) || all.over(mostAll) && is.over(share);
-        if (over) {
+        Load share = total.dividedBy(Math.max(1, loads.size()));
+        boolean pause = paused.contains(connection)
+                ? current.reaches(perConnection.dividedBy(2))
+                        || all.reaches(total.dividedBy(2)) && current.reaches(share.dividedBy(2))
+                : current.reaches(perConnection) || all.reaches(total) && current.reaches(share);
+        if (pause) {
             paused.add(connection);
         } else {
             paused.remove(connection);
         }
-        return !over;
+        return !pause;
     }
 
     /**
-     * A body of so many octets has begun to come. What has begun can't be paused, since only reading on ends it: so what is
-     * begun and not whole has bounds of its own, the same as what is unsettled.
-     *
-     * @return false if it is too much
+     * Registers a body of this size whose first frame has come; returns false if it exceeds a limit. A connection can't be
+     * paused within a body, since only further reading completes it. Incomplete bodies are therefore limited separately, by
+     * the same numbers of octets as unsettled messages.
      */
     public boolean tryStartBody(int connection, long bodyOctets) {
-        long mine = begun.getOrDefault(connection, 0L) + bodyOctets;
-        if (mine > mostEach.octets || begunOctets + bodyOctets > mostAll.octets) {
+        long ownOctets = partialOctets.getOrDefault(connection, 0L) + bodyOctets;
+        if (ownOctets > perConnection.octets || allPartialOctets + bodyOctets > total.octets) {
             return false;
         }
-        begun.put(connection, mine);
-        begunOctets += bodyOctets;
+        partialOctets.put(connection, ownOctets);
+        allPartialOctets += bodyOctets;
         return true;
     }
 
-    /** A body that had begun is whole, or will never be. */
+    /** A registered body is complete, or was given up. */
     public void bodyDone(int connection, long bodyOctets) {
-        begunOctets -= bodyOctets;
-        begun.computeIfPresent(connection, (c, mine) -> mine == bodyOctets ? null : mine - bodyOctets);
+        allPartialOctets -= bodyOctets;
+        partialOctets.computeIfPresent(connection, (c, ownOctets) -> ownOctets == bodyOctets ? null : ownOctets - bodyOctets);
     }
 
-    /** A connection is gone with all that it had. */
+    /** A connection was closed; its load and its incomplete bodies no longer count. */
     public void connectionClosed(int connection) {
-        bodyDone(connection, begun.getOrDefault(connection, 0L));
-        Load was = loads.getOrDefault(connection, Load.NONE);
-        addLoad(connection, -was.messages, -was.octets);
+        bodyDone(connection, partialOctets.getOrDefault(connection, 0L));
+        Load before = loads.getOrDefault(connection, Load.NONE);
+        addLoad(connection, -before.messages, -before.octets);
         paused.remove(connection);
     }
 
-    /** Those that are paused. */
+    /** The connections that are paused. */
     public Set<Integer> paused() {
         return Set.copyOf(paused);
     }
--- a/src/main/java/slipfield/amqp/decide/ConsumerRegistry.java
+++ b/src/main/java/slipfield/amqp/decide/ConsumerRegistry.java
@@ -8,106 +8,108 @@
 import java.util.OptionalDouble;
 
 /**
- * Consumers of queues as endpoints of their destinations. One that leaves is out of service at once, and is remembered for a
- * while: if it comes again under its name it is the endpoint that it was, and what was learnt of it holds. So a consumer
- * that fell and returns cold gets what a returning endpoint gets, no more.
+ * Presents the consumers of queues as endpoints of their destinations. A consumer that leaves is out of service at once and
+ * is remembered for a while: if it returns under the same name it is the same endpoint, with the health known of it. So a
+ * consumer that failed and returns gets no more load than any recovering endpoint.
  *
- * <p>Of the consumers of a queue those of the highest priority are in service, the others stand by until all of these have
- * left. It is not a share: a share is what the decision module gives.
+ * <p>Only the consumers with the highest priority of a queue are in service; the others stand by until all of those have
+ * left. Priority does not divide the load: the delivery policy distributes messages among the endpoints in service.
  */
 public final class ConsumerRegistry {
     /**
-     * An endpoint, as the list is to have it.
+     * A change of the endpoint list.
      *
-     * @param name of the endpoint: queue, user, and the consumer's own tag
+     * @param name of the endpoint: queue, user and consumer tag
+     * @param removed whether the endpoint is to be removed from the list
      */
     public record EndpointUpdate(String name, String queue, boolean inService, boolean removed) {
     }
 
-    private record Known(String queue, boolean here, boolean exclusive, int priority, boolean serving, double leftMs) {
+    private record KnownConsumer(String queue, boolean present, boolean exclusive, int priority, boolean inService,
+            double leftMs) {
     }
 
-    private final double awayMs;
-    private final Map<String, Known> known = new LinkedHashMap<>();
-    private final Map<String, Integer> here = new HashMap<>();
+    private final double retentionMs;
+    private final Map<String, KnownConsumer> known = new LinkedHashMap<>();
+    private final Map<String, Integer> presentByQueue = new HashMap<>();
 
-    /** {@code awayMs}: one that left is remembered for so long. */
-    public ConsumerRegistry(double awayMs) {
-        this.awayMs = awayMs;
+    /** {@code retentionMs}: how long a consumer is remembered after it left, in milliseconds. */
+    public ConsumerRegistry(double retentionMs) {
+        this.retentionMs = retentionMs;
     }
 
-    /** An endpoint's name: stable where the consumer chose its own tag. */
+    /** The name of a consumer's endpoint. It is the same after a restart of the consumer if the consumer chooses its tag. */
     public static String endpointName(String queue, String user, String tag) {
         return queue + "/" + user + "/" + tag;
     }
 
-    /** Whether a consumer may come: none but it where one is exclusive, and each name once. */
+    /** Whether a consumer may be added: an exclusive one must be the only one of its queue, and names must be unique. */
     public boolean canAdd(String name, String queue, boolean exclusive) {
-        if (exclusive && here.getOrDefault(queue, 0) > 0) {
+        if (exclusive && presentByQueue.getOrDefault(queue, 0) > 0) {
             return false;
         }
-        for (Map.Entry<String, Known> k : known.entrySet()) {
-            boolean other = k.getValue().here && k.getValue().queue.equals(queue);
-            if (other && (k.getValue().exclusive || k.getKey().equals(name))) {
+        for (Map.Entry<String, KnownConsumer> k : known.entrySet()) {
+            boolean sameQueue = k.getValue().present && k.getValue().queue.equals(queue);
+            if (sameQueue && (k.getValue().exclusive || k.getKey().equals(name))) {
                 return false;
             }
         }
         return true;
     }
 
-    /** It came: what changes in the list by that. */
+    /** Adds a consumer; returns the resulting changes of the endpoint list. */
     public List<EndpointUpdate> add(String name, String queue, boolean exclusive, int priority) {
-        known.put(name, new Known(queue, true, exclusive, priority, false, 0));
-        here.merge(queue, 1, Integer::sum);
-        return served(queue, name);
+        known.put(name, new KnownConsumer(queue, true, exclusive, priority, false, 0));
+        presentByQueue.merge(queue, 1, Integer::sum);
+        return updateService(queue, name);
     }
 
-    /** It left, cancelled, or its channel is gone: what changes in the list by that. */
+    /** Removes a consumer that was cancelled or whose channel closed; returns the resulting changes of the endpoint list. */
     public List<EndpointUpdate> remove(String name, double now) {
-        Known k = known.get(name);
-        known.put(name, new Known(k.queue, false, false, k.priority, false, now));
-        here.merge(k.queue, -1, Integer::sum);
-        return served(k.queue, name);
+        KnownConsumer k = known.get(name);
+        known.put(name, new KnownConsumer(k.queue, false, false, k.priority, false, now));
+        presentByQueue.merge(k.queue, -1, Integer::sum);
+        return updateService(k.queue, name);
     }
 
-    /** Who is in service at a queue now; told are those that this changes, and the one that it is about. */
-    private List<EndpointUpdate> served(String queue, String about) {
+    /** Recomputes which consumers of a queue are in service; returns those that changed, and the named one in any case. */
+    private List<EndpointUpdate> updateService(String queue, String name) {
         int highest = Integer.MIN_VALUE;
-        for (Known k : known.values()) {
-            highest = k.here && k.queue.equals(queue) ? Math.max(highest, k.priority) : highest;
+        for (KnownConsumer k : known.values()) {
+            highest = k.present && k.queue.equals(queue) ? Math.max(highest, k.priority) : highest;
         }
         List<EndpointUpdate> changed = new ArrayList<>();
-        for (Map.Entry<String, Known> e : known.entrySet()) {
-            Known k = e.getValue();
-            boolean serving = k.here && k.priority == highest;
-            if (k.queue.equals(queue) && (serving != k.serving || e.getKey().equals(about))) {
-                e.setValue(new Known(queue, k.here, k.exclusive, k.priority, serving, k.leftMs));
-                changed.add(new EndpointUpdate(e.getKey(), queue, serving, false));
+        for (Map.Entry<String, KnownConsumer> e : known.entrySet()) {
+            KnownConsumer k = e.getValue();
+            boolean inService = k.present && k.priority == highest;
+            if (k.queue.equals(queue) && (inService != k.inService || e.getKey().equals(name))) {
+                e.setValue(new KnownConsumer(queue, k.present, k.exclusive, k.priority, inService, k.leftMs));
+                changed.add(new EndpointUpdate(e.getKey(), queue, inService, false));
             }
         }
         return changed;
     }
 
-    /** Those that have been away for too long, and are forgotten. */
+    /** Forgets the consumers that left {@code retentionMs} ago or earlier; returns their removal from the endpoint list. */
     public List<EndpointUpdate> removeExpired(double now) {
-        List<EndpointUpdate> gone = new ArrayList<>();
+        List<EndpointUpdate> expired = new ArrayList<>();
         known.entrySet().removeIf(e -> {
-            boolean old = !e.getValue().here && now - e.getValue().leftMs >= awayMs;
-            if (old) {
-                gone.add(new EndpointUpdate(e.getKey(), e.getValue().queue, false, true));
+            boolean isExpired = !e.getValue().present && now - e.getValue().leftMs >= retentionMs;
+            if (isExpired) {
+                expired.add(new EndpointUpdate(e.getKey(), e.getValue().queue, false, true));
             }
-            return old;
+            return isExpired;
         });
-        return gone;
+        return expired;
     }
 
-    /** When {@link #removeExpired} has something to tell next; empty: unless something changes, never. */
+    /** When {@link #removeExpired} next has something to remove; empty: not unless a consumer leaves. */
     public OptionalDouble nextExpiryMs() {
-        return known.values().stream().filter(k -> !k.here).mapToDouble(k -> k.leftMs + awayMs).min();
+        return known.values().stream().filter(k -> !k.present).mapToDouble(k -> k.leftMs + retentionMs).min();
     }
 
-    /** How many consume a queue now. */
+    /** Number of consumers that a queue has now. */
     public int count(String queue) {
-        return here.getOrDefault(queue, 0);
+        return presentByQueue.getOrDefault(queue, 0);
     }
 }
--- a/src/main/java/slipfield/amqp/decide/ContentAssembler.java
+++ b/src/main/java/slipfield/amqp/decide/ContentAssembler.java
@@ -3,38 +3,38 @@
 import java.util.Optional;
 
 /**
- * A channel's contents from their frames, in the order that specification 0-9-1, 4.2.6 has: method, header, body frames up
- * to the size that the header told. It counts; the octets are kept by whoever asks.
+ * Checks the order of a channel's frames, and when a content is complete: method, header, then body frames up to the size in
+ * the header (specification 0-9-1, 4.2.6). It only counts octets; the caller keeps them.
  */
 public final class ContentAssembler {
     private enum State {
         METHOD, HEADER, BODY
     }
 
-    private final long mostBody;
+    private final long maxBody;
     private State state = State.METHOD;
-    private long missing;
+    private long remaining;
 
-    /** What became of a frame. */
+    /** The result of one frame. */
     public enum Step {
-        /** More must come. */
+        /** More frames must follow. */
         INCOMPLETE,
-        /** The content is whole. */
+        /** The content is complete. */
         COMPLETE,
-        /** The body is longer than it may be: soft error 311. */
+        /** The body is longer than allowed: soft error 311. */
         TOO_LARGE,
-        /** Not the frame that had to come: hard error 505. */
+        /** The frame is not of the expected kind: hard error 505. */
         UNEXPECTED,
-        /** The body frames hold more than the header told: hard error 501. */
+        /** The body frames hold more octets than the header announced: hard error 501. */
         OVERRUN
     }
 
-    /** {@code mostBody}: octets of a body at most. */
-    public ContentAssembler(long mostBody) {
-        this.mostBody = mostBody;
+    /** {@code maxBody}: the largest allowed body, in octets. */
+    public ContentAssembler(long maxBody) {
+        this.maxBody = maxBody;
     }
 
-    /** A method came, with or without content behind it. */
+    /** A method frame came; {@code content}: whether a content follows it. */
     public Step method(boolean content) {
         if (state != State.METHOD) {
             return Step.UNEXPECTED;
@@ -43,41 +43,41 @@
         return content ? Step.INCOMPLETE : Step.COMPLETE;
     }
 
-    /** A content header came. */
+    /** A content header came, with this body size in octets. */
     public Step header(long bodySize) {
         if (state != State.HEADER) {
             return Step.UNEXPECTED;
         }
-        if (bodySize > mostBody) {
+        if (bodySize > maxBody) {
             return Step.TOO_LARGE;
         }
-        missing = bodySize;
+        remaining = bodySize;
         state = bodySize == 0 ? State.METHOD : State.BODY;
         return bodySize == 0 ? Step.COMPLETE : Step.INCOMPLETE;
     }
 
-    /** A body frame came with so many octets. */
+    /** A body frame with this number of octets came. */
     public Step body(long octets) {
         if (state != State.BODY) {
             return Step.UNEXPECTED;
         }
-        if (octets > missing) {
+        if (octets > remaining) {
             return Step.OVERRUN;
         }
-        missing -= octets;
-        if (missing > 0) {
+        remaining -= octets;
+        if (remaining > 0) {
             return Step.INCOMPLETE;
         }
         state = State.METHOD;
         return Step.COMPLETE;
     }
 
-    /** What is awaited, for an error's text. */
+    /** A description of what must come next, for an error message; empty: a method. */
     public Optional<String> expected() {
         return switch (state) {
             case METHOD -> Optional.empty();
             case HEADER -> Optional.of("a content header");
-            case BODY -> Optional.of(missing + " octets of a body");
+            case BODY -> Optional.of(remaining + " octets of a body");
         };
     }
 }
--- a/src/main/java/slipfield/amqp/decide/HeartbeatMonitor.java
+++ b/src/main/java/slipfield/amqp/decide/HeartbeatMonitor.java
@@ -1,54 +1,55 @@
 package slipfield.amqp.decide;
 
 /**
- * Heartbeats: specification 0-9-1, 4.2.7. Any octet counts as one, in both ways. One is sent after half the agreed time
- * without sending; a peer that was not heard for twice that time is gone.
+ * Heartbeats of a connection: specification 0-9-1, 4.2.7. Any octet counts as a heartbeat, in both directions. A heartbeat is
+ * sent when nothing was sent for half of the agreed interval; a peer from which nothing came for twice the interval is lost.
  */
 public final class HeartbeatMonitor {
-    private final long everyMs;
-    private double heard;
-    private double said;
+    private final long intervalMs;
+    private double lastReceivedMs;
+    private double lastSentMs;
 
-    /** What is to be done now. */
+    /** What to do now. */
     public enum Action {
         NOTHING,
-        /** A heartbeat is to be sent. */
+        /** Send a heartbeat. */
         SEND_HEARTBEAT,
-        /** The peer is gone. */
+        /** The peer is lost. */
         PEER_LOST
     }
 
-    /** {@code everyMs}: as agreed, in milliseconds; 0: never. */
-    public HeartbeatMonitor(long everyMs, double now) {
-        this.everyMs = everyMs;
-        this.heard = now;
-        this.said = now;
+    /** {@code intervalMs}: the agreed interval in milliseconds; 0: no heartbeats. */
+    public HeartbeatMonitor(long intervalMs, double now) {
+        this.intervalMs = intervalMs;
+        this.lastReceivedMs = now;
+        this.lastSentMs = now;
     }
 
-    /** Something came. */
+    /** Octets came from the peer. */
     public void received(double now) {
-        heard = now;
+        lastReceivedMs = now;
     }
 
-    /** Something went out. */
+    /** Octets were sent to the peer. */
     public void sent(double now) {
-        said = now;
+        lastSentMs = now;
     }
 
     /**
-     * What is due.
+     * What is due at this time.
      *
-     * @param reading whether we read from the peer: one that we do not read can't be heard, and is not held to be gone
+     * @param reading whether the connection is being read. While it is not, silence says nothing about the peer, and it is
+     *     not taken for lost
      */
     public Action due(double now, boolean reading) {
-        if (everyMs == 0) {
+        if (intervalMs == 0) {
             return Action.NOTHING;
         }
         if (!reading) {
-            heard = Math.max(heard, now - everyMs);
-        } else if (now - heard > 2.0 * everyMs) {
+            lastReceivedMs = Math.max(lastReceivedMs, now - intervalMs);
+        } else if (now - lastReceivedMs > 2.0 * intervalMs) {
             return Action.PEER_LOST;
         }
-        return now - said >= everyMs / 2.0 ? Action.SEND_HEARTBEAT : Action.NOTHING;
+        return now - lastSentMs >= intervalMs / 2.0 ? Action.SEND_HEARTBEAT : Action.NOTHING;
     }
 }
--- a/src/main/java/slipfield/amqp/decide/LoginThrottle.java
+++ b/src/main/java/slipfield/amqp/decide/LoginThrottle.java
@@ -5,96 +5,96 @@
 import java.util.Map;
 
 /**
- * Who may try to log in, and when its answer goes out. Checking a secret costs CPU on purpose, so few are checked at once
- * and few wait; a wrong one is answered late, later with each further one of the same name, up to a bound. A right one is
- * answered at once, whoever else fails under that name: else anyone could lock a user out.
+ * Limits login attempts. Checking a secret is expensive on purpose, so only a few are checked at the same time and only a few
+ * wait. The answer to a wrong secret is delayed, longer for each further failure of the same user name, up to a maximum. A
+ * correct secret is answered at once, however often others failed under that name; otherwise anyone could lock a user out.
  */
 public final class LoginThrottle {
     private static final double FIRST_DELAY_MS = 250;
-    private static final double LONGEST_DELAY_MS = 8000;
-    private static final double FORGOTTEN_MS = 60_000;
-    private static final int MOST_NAMES = 1000;
+    private static final double MAX_DELAY_MS = 8000;
+    private static final double FAILURE_MEMORY_MS = 60_000;
+    private static final int MAX_NAMES = 1000;
     /**
-     * Wrong ones whose answer is held back at one time. Guards against a crowd of them that would hold all connections: what
-     * is beyond it is answered at once, and the checks, few at a time, still bound how many can be tried.
+     * Answers that are delayed at the same time. Without this limit many failing logins could occupy all connections. Further
+     * failures are answered at once; the limit on concurrent checks still bounds the rate of attempts.
      */
-    private static final int MOST_HELD_BACK = 32;
+    private static final int MAX_DELAYED_ANSWERS = 32;
 
-    private final int atOnce;
-    private final int mostWaiting;
+    private final int maxChecks;
+    private final int maxWaiting;
     private int checking;
-    private final Map<String, Integer> waitingOf = new HashMap<>();
+    private final Map<String, Integer> waitingByName = new HashMap<>();
     private int waiting;
-    private int heldBack;
-    /** Wrong tries by name, those of long ago first. */
-    private final Map<String, Wrong> wrong = new LinkedHashMap<>();
+    private int delayedAnswers;
+    /** Failed attempts by user name, the least recent first. */
+    private final Map<String, Failures> failures = new LinkedHashMap<>();
 
-    private record Wrong(int many, double lastMs) {
+    private record Failures(int count, double lastMs) {
     }
 
-    /** What becomes of a try. */
+    /** How a login attempt is handled. */
     public enum Verdict {
         /** Its secret is checked now. */
         CHECK,
-        /** It waits until another check has ended. */
+        /** It waits until another check has finished. */
         WAIT,
-        /** Too many wait, all told or of this name: it is turned away unchecked. */
+        /** Too many attempts wait, in total or for this name: it is rejected without a check. */
         REJECT
     }
 
     /**
-     * @param atOnce secrets that are checked at one time
-     * @param mostWaiting tries that wait for that; of one name a quarter of them at most
+     * @param maxChecks secrets that are checked at the same time
+     * @param maxWaiting attempts that may wait for a check; at most a quarter of them for one name
      */
-    public LoginThrottle(int atOnce, int mostWaiting) {
-        this.atOnce = atOnce;
-        this.mostWaiting = mostWaiting;
+    public LoginThrottle(int maxChecks, int maxWaiting) {
+        this.maxChecks = maxChecks;
+        this.maxWaiting = maxWaiting;
     }
 
-    /** Somebody wants to log in under this name. */
+    /** A client attempts to log in under this name. */
     public Verdict admit(String name) {
-        if (checking < atOnce) {
+        if (checking < maxChecks) {
             checking++;
             return Verdict.CHECK;
         }
-        int ofName = waitingOf.getOrDefault(name, 0);
-        if (waiting >= mostWaiting || ofName >= Math.max(1, mostWaiting / 4)) {
+        int waitingForName = waitingByName.getOrDefault(name, 0);
+        if (waiting >= maxWaiting || waitingForName >= Math.max(1, maxWaiting / 4)) {
             return Verdict.REJECT;
         }
         waiting++;
-        waitingOf.put(name, ofName + 1);
+        waitingByName.put(name, waitingForName + 1);
         return Verdict.WAIT;
     }
 
-    /** One that waited goes on to its check. */
+    /** The check of a waiting attempt starts. */
     public void startQueued(String name) {
         waiting--;
-        waitingOf.merge(name, -1, (a, b) -> a + b == 0 ? null : a + b);
+        waitingByName.merge(name, -1, (a, b) -> a + b == 0 ? null : a + b);
         checking++;
     }
 
-    /** A check has ended; whether one that waits may go on. */
+    /** A check has finished. Returns whether the check of a waiting attempt may start. */
     public boolean checkFinished() {
         checking--;
-        return checking < atOnce && waiting > 0;
+        return checking < maxChecks && waiting > 0;
     }
 
-    /** The answer to a wrong secret is out. */
+    /** The answer to a wrong secret was sent, after its delay. */
     public void failureAnswered() {
-        heldBack--;
+        delayedAnswers--;
     }
 
-    /** The secret was wrong: how long its answer is to be held back, in milliseconds, until {@link #failureAnswered}. */
+    /** Records a wrong secret. Returns the delay of its answer in milliseconds; {@link #failureAnswered} must follow. */
     public double recordFailure(String name, double now) {
-        Wrong before = wrong.remove(name);
-        int many = before == null || now - before.lastMs > FORGOTTEN_MS ? 1 : before.many + 1;
-        wrong.put(name, new Wrong(many, now));
-        if (wrong.size() > MOST_NAMES) {
-            wrong.remove(wrong.keySet().iterator().next());
+        Failures before = failures.remove(name);
+        int count = before == null || now - before.lastMs > FAILURE_MEMORY_MS ? 1 : before.count + 1;
+        failures.put(name, new Failures(count, now));
+        if (failures.size() > MAX_NAMES) {
+            failures.remove(failures.keySet().iterator().next());
         }
-        if (heldBack++ >= MOST_HELD_BACK) {
+        if (delayedAnswers++ >= MAX_DELAYED_ANSWERS) {
             return 0;
         }
-        return Math.min(LONGEST_DELAY_MS, FIRST_DELAY_MS * Math.pow(2, Math.min(many - 1, 16)));
+        return Math.min(MAX_DELAY_MS, FIRST_DELAY_MS * Math.pow(2, Math.min(count - 1, 16)));
     }
 }
--- a/src/main/java/slipfield/amqp/decide/PublisherConfirms.java
+++ b/src/main/java/slipfield/amqp/decide/PublisherConfirms.java
@@ -6,73 +6,74 @@
 import java.util.TreeMap;
 
 /**
- * A channel's publisher confirms. Each publish has the next number; each number is confirmed once, by itself or by one
- * that stands for all below it. {@code multiple} is said only where every number up to there has the same end and none
- * below it is open: so a publisher that reads it as the specification has it never takes an open one for confirmed.
+ * Publisher confirms of a channel. Each publish gets the next tag; each tag is confirmed once, by itself or by a confirm with
+ * {@code multiple} for all tags up to it. {@code multiple} is used only if no tag up to there is pending and all that are not
+ * yet confirmed have the same result; so a publisher that follows the specification never takes a pending one for confirmed.
  */
 public final class PublisherConfirms {
-    /** A confirm to send: {@code basic.ack}, or {@code basic.nack}. */
+    /** A confirm to send: {@code basic.ack} if {@code ack}, otherwise {@code basic.nack}. */
     public record Confirm(long tag, boolean multiple, boolean ack) {
     }
 
-    /** Numbers that are open or have an end that was not told yet: null while open, then whether it is an ack. */
-    private final NavigableMap<Long, Boolean> untold = new TreeMap<>();
-    private final List<Long> ended = new ArrayList<>();
-    private long last;
-    private int open;
+    /** Tags that are not confirmed yet: null while pending, then whether the result is an ack. */
+    private final NavigableMap<Long, Boolean> unconfirmed = new TreeMap<>();
+    private final List<Long> settled = new ArrayList<>();
+    private long lastTag;
+    private int pending;
 
-    /** A publish came; its number, from 1. */
+    /** Assigns the tag of a publish, counting from 1. */
     public long assignTag() {
-        last++;
-        open++;
-        untold.put(last, null);
-        return last;
+        lastTag++;
+        pending++;
+        unconfirmed.put(lastTag, null);
+        return lastTag;
     }
 
-    /** Whether this number has no end yet. */
+    /** Whether this tag was assigned and has no result yet. */
     public boolean isPending(long tag) {
-        return untold.containsKey(tag) && untold.get(tag) == null;
+        return unconfirmed.containsKey(tag) && unconfirmed.get(tag) == null;
     }
 
-    /** A number has its final answer; a second one for it is ignored, and told by {@code false}. */
+    /** Records the final result of a tag. Returns false, and ignores it, if the tag has a result already or is unknown. */
     public boolean settle(long tag, boolean ack) {
         if (!isPending(tag)) {
             return false;
         }
-        untold.put(tag, ack);
-        ended.add(tag);
-        open--;
+        unconfirmed.put(tag, ack);
+        settled.add(tag);
+        pending--;
         return true;
     }
 
-    /** Numbers without an end. */
+    /** Number of tags without a result. */
     public int pending() {
-        return open;
+        return pending;
     }
 
-    /** What is to be told now, in its order. Those of it count as told. */
+    /** Returns the confirms to send now, in order. They count as sent. */
     public List<Confirm> takeDue() {
-        if (ended.isEmpty()) {
+        if (settled.isEmpty()) {
             return List.of();
         }
         List<Confirm> due = new ArrayList<>();
-        // From the lowest untold number on, while they have the same end: one confirm for all of them.
-        while (!untold.isEmpty() && untold.firstEntry().getValue() != null) {
-            boolean ack = untold.firstEntry().getValue();
+        // From the lowest unconfirmed tag on: one confirm for each run of tags with the same result.
+        while (!unconfirmed.isEmpty() && unconfirmed.firstEntry().getValue() != null) {
+            boolean ack = unconfirmed.firstEntry().getValue();
             long upTo = 0;
-            int many = 0;
-            while (!untold.isEmpty() && untold.firstEntry().getValue() != null && untold.firstEntry().getValue() == ack) {
-                upTo = untold.pollFirstEntry().getKey();
-                many++;
+            int count = 0;
+            while (!unconfirmed.isEmpty() && unconfirmed.firstEntry().getValue() != null
+                    && unconfirmed.firstEntry().getValue() == ack) {
+                upTo = unconfirmed.pollFirstEntry().getKey();
+                count++;
             }
-            due.add(new Confirm(upTo, many > 1, ack));
+            due.add(new Confirm(upTo, count > 1, ack));
         }
-        for (long tag : ended) {
-            if (untold.containsKey(tag)) {
-                due.add(new Confirm(tag, false, untold.remove(tag)));
+        for (long tag : settled) {
+            if (unconfirmed.containsKey(tag)) {
+                due.add(new Confirm(tag, false, unconfirmed.remove(tag)));
             }
         }
-        ended.clear();
+        settled.clear();
         return due;
     }
 }
--- a/src/main/java/slipfield/amqp/decide/RedialBackoff.java
+++ b/src/main/java/slipfield/amqp/decide/RedialBackoff.java
@@ -3,36 +3,36 @@
 import java.util.SplittableRandom;
 
 /**
- * When a link that is down is dialled again: after a pause drawn from half to the whole of a time that doubles at each
- * failure, up to a bound; so that senders that lost one broker do not come back to it in one moment. A link that stood for a
- * while begins anew; one that falls at once each time does not.
+ * Delays before a lost link to a broker is dialled again. The bound doubles at each failure up to a maximum, and the delay is
+ * drawn between half of the bound and the bound, so that the senders that lost a broker do not all dial it at the same
+ * moment. A link that was up for {@code STABLE_MS} resets the bound; one that is lost sooner does not.
  */
 public final class RedialBackoff {
-    private static final double STOOD_MS = 10_000;
+    private static final double STABLE_MS = 10_000;
 
     private final double firstMs;
-    private final double mostMs;
+    private final double maxMs;
     private final SplittableRandom random;
     private int failures;
-    private double openedMs = Double.POSITIVE_INFINITY;
+    private double connectedMs = Double.POSITIVE_INFINITY;
 
-    /** Pauses from {@code firstMs} up to {@code mostMs}, in milliseconds. */
-    public RedialBackoff(long seed, double firstMs, double mostMs) {
+    /** {@code firstMs}: the first bound of the delay; {@code maxMs}: its maximum, both in milliseconds. */
+    public RedialBackoff(long seed, double firstMs, double maxMs) {
         this.random = new SplittableRandom(seed);
         this.firstMs = firstMs;
-        this.mostMs = mostMs;
+        this.maxMs = maxMs;
     }
 
-    /** The link stands. */
+    /** The link is up. */
     public void connected(double now) {
-        openedMs = now;
+        connectedMs = now;
     }
 
-    /** It is down, or did not come up: the pause before it is dialled, in milliseconds. */
+    /** The link was lost, or could not be opened. Returns the delay before it is dialled again, in milliseconds. */
     public double disconnected(double now) {
-        failures = now - openedMs >= STOOD_MS ? 0 : failures;
-        openedMs = Double.POSITIVE_INFINITY;
-        double bound = Math.min(mostMs, firstMs * Math.pow(2, Math.min(failures++, 30)));
+        failures = now - connectedMs >= STABLE_MS ? 0 : failures;
+        connectedMs = Double.POSITIVE_INFINITY;
+        double bound = Math.min(maxMs, firstMs * Math.pow(2, Math.min(failures++, 30)));
         return bound / 2 + random.nextDouble() * bound / 2;
     }
 }
--- a/src/main/java/slipfield/amqp/decide/RoutingTable.java
+++ b/src/main/java/slipfield/amqp/decide/RoutingTable.java
@@ -7,51 +7,51 @@
 import java.util.Optional;
 
 /**
- * Where a publish goes, by its exchange and routing key: the first pattern that fits. Patterns are those of a topic
- * exchange (specification 0-9-1, 3.1.3.3): words with dots between, {@code *} for one word, {@code #} for any number.
+ * Routes a publish by its exchange and routing key: the first matching pattern applies. Patterns are those of a topic
+ * exchange (specification 0-9-1, 3.1.3.3): words separated by dots, {@code *} for one word, {@code #} for any number of words.
  */
 public final class RoutingTable {
-    /** Where it goes. */
+    /** The message class and the destination of a publish. */
     public record Target(String messageClass, long destination) {
     }
 
     /**
-     * A line of the operator's file.
+     * A route of the operator's file.
      *
-     * @param destination used where {@code destinationWord} is 0
-     * @param destinationWord which word of the key, from 1, is the destination's number; 0: none
+     * @param destination the destination's number if {@code destinationWord} is 0
+     * @param destinationWord index, from 1, of the word of the key that is the destination's number; 0: none
      */
     public record Route(String pattern, String messageClass, long destination, int destinationWord) {
     }
 
-    private record Compiled(String[] pattern, Route route) {
+    private record CompiledRoute(String[] pattern, Route route) {
     }
 
-    private final Map<String, List<Compiled>> exchanges = new HashMap<>();
+    private final Map<String, List<CompiledRoute>> exchanges = new HashMap<>();
 
-    /** Adds an exchange with its routes, in the order in which they are tried. */
+    /** Adds an exchange with its routes, which are tried in this order. Returns this table. */
     public RoutingTable addExchange(String name, List<Route> routes) {
-        List<Compiled> compiled = new ArrayList<>();
-        routes.forEach(r -> compiled.add(new Compiled(words(r.pattern()), r)));
+        List<CompiledRoute> compiled = new ArrayList<>();
+        routes.forEach(r -> compiled.add(new CompiledRoute(words(r.pattern()), r)));
         exchanges.put(name, compiled);
         return this;
     }
 
-    /** Whether there is an exchange of this name. */
+    /** Whether an exchange of this name exists. */
     public boolean hasExchange(String exchange) {
         return exchanges.containsKey(exchange);
     }
 
-    /** Whether the file binds something there by exactly this pattern. */
+    /** Whether the file has a route with exactly this pattern for the exchange. */
     public boolean hasBinding(String exchange, String pattern) {
         return exchanges.getOrDefault(exchange, List.of()).stream().anyMatch(c -> c.route.pattern().equals(pattern));
     }
 
-    /** Where a key goes; nowhere if none fits, or if the word for the destination is no number. */
+    /** The target of a key; empty if no pattern matches, or if the destination's word is not a number of up to 18 digits. */
     public Optional<Target> resolve(String exchange, String key) {
         String[] words = words(key);
-        for (Compiled c : exchanges.getOrDefault(exchange, List.of())) {
-            if (fits(c.pattern, words)) {
+        for (CompiledRoute c : exchanges.getOrDefault(exchange, List.of())) {
+            if (matches(c.pattern, words)) {
                 return resolve(c.route, words);
             }
         }
@@ -73,24 +73,24 @@
     }
 
     /**
-     * One pass with a way back to the last {@code #}: no pattern takes more than the product of both lengths. Guards
-     * against a key that is made to be tried in every way.
+     * Matches in one pass with backtracking to the last {@code #} only, so the number of steps is at most the product of both
+     * lengths. This guards against keys crafted to make the match try every combination.
      */
-    private static boolean fits(String[] pattern, String[] words) {
+    private static boolean matches(String[] pattern, String[] words) {
         int p = 0;
         int w = 0;
-        int hash = -1;
-        int from = 0;
+        int lastHash = -1;
+        int retryFrom = 0;
         while (w < words.length) {
             if (p < pattern.length && pattern[p].equals("#")) {
-                hash = p++;
-                from = w;
+                lastHash = p++;
+                retryFrom = w;
             } else if (p < pattern.length && (pattern[p].equals("*") || pattern[p].equals(words[w]))) {
                 p++;
                 w++;
-            } else if (hash >= 0) {
-                p = hash + 1;
-                w = ++from;
+            } else if (lastHash >= 0) {
+                p = lastHash + 1;
+                w = ++retryFrom;
             } else {
                 return false;
             }
--- a/src/main/java/slipfield/amqp/decide/UnackedDeliveries.java
+++ b/src/main/java/slipfield/amqp/decide/UnackedDeliveries.java
@@ -9,101 +9,101 @@
 import java.util.TreeMap;
 
 /**
- * A channel's deliveries that are not settled, and who may have another. A consumer may have as many as its own prefetch
- * allows, all of the channel together as many as the channel's does: {@code basic.qos}, read as brokers do, where a count
- * that is not global holds for each consumer that comes after it, and a global one for the channel.
+ * The unsettled deliveries of a channel, and the prefetch limits on them. A consumer's limit is its own prefetch count, and
+ * all consumers of the channel share the channel's. {@code basic.qos} is interpreted as brokers do: a count that is not
+ * global applies to each consumer added after it, a global one to the whole channel.
  *
- * @param <T> what a delivery is to whoever made it
+ * @param <T> the caller's object for a delivery
  */
 public final class UnackedDeliveries<T> {
-    /** A delivery that was settled, or can be no more. */
+    /** A delivery that is not settled, or that a call of {@link #settle} returns. {@code sentMs}: when it was sent. */
     public record Delivery<T>(long tag, String consumer, T payload, double sentMs) {
     }
 
     private static final class Consumer {
-        private final int most;
-        private int out;
+        private final int limit;
+        private int unsettled;
 
-        private Consumer(int most) {
-            this.most = most;
+        private Consumer(int limit) {
+            this.limit = limit;
         }
     }
 
-    private final int mostEach;
-    private final NavigableMap<Long, Delivery<T>> out = new TreeMap<>();
+    private final int maxPerConsumer;
+    private final NavigableMap<Long, Delivery<T>> unsettled = new TreeMap<>();
     private final Map<String, Consumer> consumers = new HashMap<>();
     private int prefetch;
-    private int shared;
+    private int channelLimit;
     private boolean flowing = true;
-    private long last;
+    private long lastTag;
 
-    /** {@code mostEach}: of one consumer, where it sets no count of its own, or a higher one. */
-    public UnackedDeliveries(int mostEach) {
-        this.mostEach = mostEach;
-        this.prefetch = mostEach;
-        this.shared = Integer.MAX_VALUE;
+    /** {@code maxPerConsumer}: the operator's limit for one consumer, used if it sets no prefetch count or a higher one. */
+    public UnackedDeliveries(int maxPerConsumer) {
+        this.maxPerConsumer = maxPerConsumer;
+        this.prefetch = maxPerConsumer;
+        this.channelLimit = Integer.MAX_VALUE;
     }
 
-    /** {@code basic.qos}; 0: as many as the operator allows. */
+    /** {@code basic.qos}; 0: as many as the operator's limit allows. */
     public void qos(int count, boolean global) {
         if (global) {
-            shared = count == 0 ? Integer.MAX_VALUE : count;
+            channelLimit = count == 0 ? Integer.MAX_VALUE : count;
         } else {
-            prefetch = count == 0 ? mostEach : Math.min(count, mostEach);
+            prefetch = count == 0 ? maxPerConsumer : Math.min(count, maxPerConsumer);
         }
     }
 
-    /** {@code channel.flow}: whether deliveries are wanted at all. */
+    /** {@code channel.flow}: whether the peer wants deliveries at all. */
     public void flow(boolean active) {
         flowing = active;
     }
 
-    /** A consumer came; false: there is one of this tag. */
+    /** Adds a consumer; false if there is one with this tag already. */
     public boolean addConsumer(String consumer) {
         return consumers.putIfAbsent(consumer, new Consumer(prefetch)) == null;
     }
 
-    /** A consumer was cancelled; what it has out can still be settled. */
+    /** Removes a cancelled consumer; its deliveries can still be settled. Returns false if there is none with this tag. */
     public boolean removeConsumer(String consumer) {
         return consumers.remove(consumer) != null;
     }
 
-    /** The tags of its consumers. */
+    /** The tags of the channel's consumers. */
     public List<String> consumers() {
         return List.copyOf(consumers.keySet());
     }
 
-    /** How many deliveries a consumer may have out at once: its slots. */
+    /** How many unsettled deliveries a consumer may have; 0 if there is none with this tag. */
     public int prefetchLimit(String consumer) {
         Consumer of = consumers.get(consumer);
-        return of == null ? 0 : Math.min(of.most, shared);
+        return of == null ? 0 : Math.min(of.limit, channelLimit);
     }
 
-    /** Whether a consumer may have one more. */
+    /** Whether a consumer may get one more delivery now. */
     public boolean canDeliver(String consumer) {
         Consumer of = consumers.get(consumer);
-        return flowing && of != null && of.out < of.most && out.size() < shared;
+        return flowing && of != null && of.unsettled < of.limit && unsettled.size() < channelLimit;
     }
 
-    /** One goes out to a consumer that has room; its tag, from 1. */
-    public long deliver(String consumer, T what, double now) {
+    /** Adds a delivery to a consumer that {@link #canDeliver} allows; returns its tag, counting from 1. */
+    public long deliver(String consumer, T payload, double now) {
         if (!canDeliver(consumer)) {
-            throw new IllegalStateException("no room at " + consumer);
+            throw new IllegalStateException("no further delivery is allowed to " + consumer);
         }
-        consumers.get(consumer).out++;
-        out.put(++last, new Delivery<>(last, consumer, what, now));
-        return last;
+        consumers.get(consumer).unsettled++;
+        unsettled.put(++lastTag, new Delivery<>(lastTag, consumer, payload, now));
+        return lastTag;
     }
 
     /**
-     * What an ack, nack or reject settles, the oldest first; with {@code multiple} all up to the tag, and with tag 0 all.
-     *
-     * @return absent if it names none that is out: the specification's error 406
+     * Settles the deliveries that an ack, nack or reject refers to, and returns them, oldest first. With {@code multiple}
+     * these are all up to the tag, and all there are for tag 0. Empty if the tag refers to no unsettled delivery, which is
+     * the specification's error 406.
      */
     public Optional<List<Delivery<T>>> settle(long tag, boolean multiple) {
-        NavigableMap<Long, Delivery<T>> settled = !multiple ? out.subMap(tag, true, tag, true)
-                : tag == 0 ? out : out.headMap(tag, true);
-        if (settled.isEmpty() && !(multiple && tag == 0) || tag > last) {
+        NavigableMap<Long, Delivery<T>> settled = !multiple ? unsettled.subMap(tag, true, tag, true)
+                : tag == 0 ? unsettled : unsettled.headMap(tag, true);
+        if (settled.isEmpty() && !(multiple && tag == 0) || tag > lastTag) {
             return Optional.empty();
         }
         List<Delivery<T>> all = new ArrayList<>(settled.values());
@@ -111,19 +111,19 @@
         all.forEach(one -> {
             Consumer of = consumers.get(one.consumer);
             if (of != null) {
-                of.out--;
+                of.unsettled--;
             }
         });
         return Optional.of(all);
     }
 
-    /** Since when the oldest is out; absent: none is. */
+    /** When the oldest unsettled delivery was sent; empty if there is none. */
     public Optional<Double> oldestSentMs() {
-        return out.isEmpty() ? Optional.empty() : Optional.of(out.firstEntry().getValue().sentMs);
+        return unsettled.isEmpty() ? Optional.empty() : Optional.of(unsettled.firstEntry().getValue().sentMs);
     }
 
-    /** How many are out. */
+    /** Number of unsettled deliveries. */
     public int count() {
-        return out.size();
+        return unsettled.size();
     }
 }
--- a/src/main/java/slipfield/amqp/decide/package-info.java
+++ b/src/main/java/slipfield/amqp/decide/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What an AMQP peer is decided by: where a publish goes, what is confirmed and when, who may have another delivery, who is
- * alive, who waits, who logs in. Pure: no I/O, no buffers, and no clock but the time it is told.
+ * The decisions of an AMQP peer: routing of publishes, publisher confirms, prefetch, heartbeats, back pressure, logins, and
+ * the assembly of contents. Pure logic: no I/O, no buffers, no clock (callers pass the time).
  */
 package slipfield.amqp.decide;
--- a/src/test/java/slipfield/amqp/decide/AmqpDecisionsTest.java
+++ b/src/test/java/slipfield/amqp/decide/AmqpDecisionsTest.java
@@ -20,17 +20,17 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** What AMQP peers are decided by, by example and by property. */
+/** Example and property tests of the decisions of an AMQP peer. */
 class AmqpDecisionsTest {
     // ---- routes ----
 
     @Test
-    void aKeyGoesWhereTheFirstFittingPatternSays() {
+    void aKeyIsRoutedByTheFirstMatchingPattern() {
         RoutingTable routes = new RoutingTable().addExchange("x", List.of(new RoutingTable.Route("order.*", "order", 0, 2),
                 new RoutingTable.Route("once.#", "once", 5, 0), new RoutingTable.Route("#.last", "order", 9, 0)));
         assertEquals(Optional.of(new RoutingTable.Target("order", 17)), routes.resolve("x", "order.17"));
-        assertEquals(Optional.empty(), routes.resolve("x", "order.west"), "no number");
-        assertEquals(Optional.empty(), routes.resolve("x", "order.99999999999999999999"), "more than a number holds");
+        assertEquals(Optional.empty(), routes.resolve("x", "order.west"), "the word is not a number");
+        assertEquals(Optional.empty(), routes.resolve("x", "order.99999999999999999999"), "the number is too large");
         assertEquals(Optional.of(new RoutingTable.Target("once", 5)), routes.resolve("x", "once"));
         assertEquals(Optional.of(new RoutingTable.Target("once", 5)), routes.resolve("x", "once.a.last"));
         assertEquals(Optional.of(new RoutingTable.Target("order", 9)), routes.resolve("x", "a.b.last"));
@@ -39,60 +39,63 @@
         assertTrue(routes.hasBinding("x", "order.*") && !routes.hasBinding("x", "order.#") && !routes.hasExchange("y"));
     }
 
-    /** Against the specification's words read literally, by recursion. */
+    /** Compares with a recursive implementation that follows the wording of the specification. */
     @Property(tries = 2000, seed = "20261201")
-    void patternsFitAsTheSpecificationSays(@ForAll @Size(max = 6) List<@IntRange(max = 3) Integer> pattern,
+    void patternsMatchAsSpecified(@ForAll @Size(max = 6) List<@IntRange(max = 3) Integer> pattern,
             @ForAll @Size(min = 1, max = 6) List<@IntRange(max = 1) Integer> key) {
         List<String> p = pattern.stream().map(i -> List.of("a", "b", "*", "#").get(i)).toList();
         List<String> k = key.stream().map(i -> List.of("a", "b").get(i)).toList();
         if (p.isEmpty()) {
             return;
         }
-        boolean got = new RoutingTable().addExchange("x", List.of(new RoutingTable.Route(String.join(".", p), "c", 1, 0)))
+        boolean matched = new RoutingTable().addExchange("x", List.of(new RoutingTable.Route(String.join(".", p), "c", 1, 0)))
                 .resolve("x", String.join(".", k)).isPresent();
-        assertEquals(fits(p, k), got, p + " " + k);
+        assertEquals(matches(p, k), matched, p + " " + k);
     }
 
-    private static boolean fits(List<String> p, List<String> k) {
+    private static boolean matches(List<String> p, List<String> k) {
         if (p.isEmpty()) {
             return k.isEmpty();
         }
         List<String> rest = p.subList(1, p.size());
         if (p.get(0).equals("#")) {
-            return fits(rest, k) || !k.isEmpty() && fits(p, k.subList(1, k.size()));
+            return matches(rest, k) || !k.isEmpty() && matches(p, k.subList(1, k.size()));
         }
-        return !k.isEmpty() && (p.get(0).equals("*") || p.get(0).equals(k.get(0))) && fits(rest, k.subList(1, k.size()));
+        return !k.isEmpty() && (p.get(0).equals("*") || p.get(0).equals(k.get(0))) && matches(rest, k.subList(1, k.size()));
     }
 
     // ---- confirms ----
 
-    /** Ends come in any order and in any portions: a publisher that reads confirms literally hears each once, and rightly. */
+    /**
+     * Results come in any order, and confirms are taken at any time: a publisher that reads the confirms as specified must
+     * get exactly one, correct confirm for each publish.
+     */
     @Property(tries = 2000, seed = "20261201")
-    void eachPublishIsConfirmedOnceAndRightly(@ForAll @IntRange(min = 1, max = 60) int many, @ForAll long seed) {
+    void eachPublishIsConfirmedOnceAndCorrectly(@ForAll @IntRange(min = 1, max = 60) int count, @ForAll long seed) {
         Random random = new Random(seed);
         PublisherConfirms confirms = new PublisherConfirms();
-        Map<Long, Boolean> ends = new HashMap<>();
-        TreeSet<Long> open = new TreeSet<>();
+        Map<Long, Boolean> results = new HashMap<>();
+        TreeSet<Long> pending = new TreeSet<>();
         TreeMap<Long, Boolean> publisher = new TreeMap<>();
         int published = 0;
-        while (published < many || !open.isEmpty()) {
-            if (published < many && random.nextBoolean()) {
+        while (published < count || !pending.isEmpty()) {
+            if (published < count && random.nextBoolean()) {
                 long tag = confirms.assignTag();
                 assertEquals(++published, tag);
-                open.add(tag);
-            } else if (!open.isEmpty()) {
-                Long tag = new ArrayList<>(open).get(random.nextInt(open.size()));
+                pending.add(tag);
+            } else if (!pending.isEmpty()) {
+                Long tag = new ArrayList<>(pending).get(random.nextInt(pending.size()));
                 boolean ack = random.nextInt(3) > 0;
                 assertTrue(confirms.settle(tag, ack));
-                assertFalse(confirms.settle(tag, !ack), "an end is final");
-                open.remove(tag);
-                ends.put(tag, ack);
+                assertFalse(confirms.settle(tag, !ack), "a result is final");
+                pending.remove(tag);
+                results.put(tag, ack);
             }
-            if (random.nextInt(4) == 0 || published == many && open.isEmpty()) {
+            if (random.nextInt(4) == 0 || published == count && pending.isEmpty()) {
                 for (PublisherConfirms.Confirm c : confirms.takeDue()) {
                     long from = c.multiple() ? 1 : c.tag();
                     for (long t = from; t <= c.tag(); t++) {
-                        assertFalse(open.contains(t), "confirmed while open: " + t);
+                        assertFalse(pending.contains(t), "confirmed while pending: " + t);
                         if (!publisher.containsKey(t)) {
                             publisher.put(t, c.ack());
                         } else {
@@ -101,14 +104,14 @@
                     }
                 }
             }
-            assertEquals(open.size(), confirms.pending());
+            assertEquals(pending.size(), confirms.pending());
         }
-        assertEquals(ends, publisher);
+        assertEquals(results, publisher);
         assertEquals(List.of(), confirms.takeDue());
     }
 
     @Test
-    void whatEndsInOrderIsConfirmedByOne() {
+    void resultsInOrderAreConfirmedTogether() {
         PublisherConfirms confirms = new PublisherConfirms();
         for (int i = 0; i < 5; i++) {
             confirms.assignTag();
@@ -126,20 +129,20 @@
     // ---- deliveries ----
 
     @Test
-    void prefetchIsOfEachConsumerOrOfTheChannel() {
+    void prefetchAppliesToEachConsumerOrToTheChannel() {
         UnackedDeliveries<String> d = new UnackedDeliveries<>(4);
         d.addConsumer("a");
         d.qos(1, false);
         d.addConsumer("b");
-        assertFalse(d.addConsumer("b"), "one of each tag");
+        assertFalse(d.addConsumer("b"), "tags are unique");
         assertEquals(List.of(4, 1), List.of(d.prefetchLimit("a"), d.prefetchLimit("b")),
-                "qos holds for those that come after it");
+                "qos applies to consumers added after it");
         d.deliver("b", "1", 0);
         assertFalse(d.canDeliver("b"));
         assertThrows(IllegalStateException.class, () -> d.deliver("b", "2", 0));
         d.qos(2, true);
         d.deliver("a", "2", 0);
-        assertFalse(d.canDeliver("a"), "the channel's count");
+        assertFalse(d.canDeliver("a"), "the channel's limit is reached");
         d.qos(0, true);
         assertTrue(d.canDeliver("a"));
         d.flow(false);
@@ -147,42 +150,42 @@
         d.flow(true);
         d.qos(99, false);
         d.addConsumer("c");
-        assertEquals(4, d.prefetchLimit("c"), "no more than the operator allows");
+        assertEquals(4, d.prefetchLimit("c"), "the operator's limit");
         assertTrue(d.removeConsumer("b") && !d.removeConsumer("b") && !d.canDeliver("b"));
-        assertEquals("1", d.settle(1, false).orElseThrow().get(0).payload(), "of one that was cancelled too");
+        assertEquals("1", d.settle(1, false).orElseThrow().get(0).payload(), "deliveries of a cancelled consumer can be settled");
     }
 
-    /** Against a plain list of what is out. */
+    /** Compares with a plain map of the unsettled deliveries. */
     @Property(tries = 1000, seed = "20261201")
     void eachDeliveryIsSettledOnce(@ForAll long seed) {
         Random random = new Random(seed);
         UnackedDeliveries<Long> d = new UnackedDeliveries<>(8);
         d.addConsumer("a");
         d.addConsumer("b");
-        TreeMap<Long, String> out = new TreeMap<>();
+        TreeMap<Long, String> unsettled = new TreeMap<>();
         long last = 0;
         for (int i = 0; i < 200; i++) {
             String to = random.nextBoolean() ? "a" : "b";
-            long mine = out.values().stream().filter(to::equals).count();
-            assertEquals(mine < 8, d.canDeliver(to));
-            if (random.nextInt(3) > 0 && mine < 8) {
+            long own = unsettled.values().stream().filter(to::equals).count();
+            assertEquals(own < 8, d.canDeliver(to));
+            if (random.nextInt(3) > 0 && own < 8) {
                 last++;
                 assertEquals(last, d.deliver(to, last, i));
-                out.put(last, to);
+                unsettled.put(last, to);
                 continue;
             }
             long tag = random.nextInt((int) last + 3);
             boolean multiple = random.nextBoolean();
-            List<Long> expected = new ArrayList<>(multiple ? tag == 0 ? out.keySet() : out.headMap(tag, true).keySet()
-                    : out.containsKey(tag) ? Set.of(tag) : Set.of());
+            List<Long> expected = new ArrayList<>(multiple ? tag == 0 ? unsettled.keySet() : unsettled.headMap(tag, true).keySet()
+                    : unsettled.containsKey(tag) ? Set.of(tag) : Set.of());
             boolean known = tag <= last && (!expected.isEmpty() || multiple && tag == 0);
             Optional<List<UnackedDeliveries.Delivery<Long>>> settled = d.settle(tag, multiple);
             assertEquals(known, settled.isPresent());
             if (known) {
                 assertEquals(expected, settled.get().stream().map(UnackedDeliveries.Delivery::payload).toList());
-                expected.forEach(out::remove);
+                expected.forEach(unsettled::remove);
             }
-            assertEquals(out.size(), d.count());
+            assertEquals(unsettled.size(), d.count());
         }
     }
 
@@ -195,13 +198,13 @@
         assertEquals(Optional.of(new Tuning(3, 4096, 0)), offer.acceptTuneOk(3, 4096, 0));
         assertEquals(Optional.empty(), offer.acceptTuneOk(65, 0, 0));
         assertEquals(Optional.empty(), offer.acceptTuneOk(0, 8193, 0));
-        assertEquals(Optional.empty(), offer.acceptTuneOk(0, 4095, 0), "the specification's least");
+        assertEquals(Optional.empty(), offer.acceptTuneOk(0, 4095, 0), "the specification's minimum");
         assertEquals(new Tuning(64, 8192, 5000), offer.tuneOkFor(0, 0, 5));
         assertEquals(new Tuning(2, 4096, 10_000), offer.tuneOkFor(2, 4096, 0));
     }
 
     @Test
-    void aPeerIsGoneAfterTwoHeartbeatsUnlessWeDoNotRead() {
+    void aPeerIsLostAfterTwoSilentIntervalsUnlessItIsNotRead() {
         HeartbeatMonitor alive = new HeartbeatMonitor(1000, 0);
         assertEquals(HeartbeatMonitor.Action.NOTHING, alive.due(499, true));
         assertEquals(HeartbeatMonitor.Action.SEND_HEARTBEAT, alive.due(500, true));
@@ -210,14 +213,14 @@
         alive.sent(1900);
         assertEquals(HeartbeatMonitor.Action.NOTHING, alive.due(2000, true));
         assertEquals(HeartbeatMonitor.Action.PEER_LOST, alive.due(2001, true));
-        assertEquals(HeartbeatMonitor.Action.SEND_HEARTBEAT, alive.due(5000, false), "it is not read: its silence is ours");
+        assertEquals(HeartbeatMonitor.Action.SEND_HEARTBEAT, alive.due(5000, false), "silence says nothing while the connection is not read");
         assertEquals(HeartbeatMonitor.Action.SEND_HEARTBEAT, alive.due(5900, true));
         assertEquals(HeartbeatMonitor.Action.PEER_LOST, alive.due(6001, true));
         assertEquals(HeartbeatMonitor.Action.NOTHING, new HeartbeatMonitor(0, 0).due(1e9, true));
     }
 
     @Test
-    void framesComeInTheirOrder() {
+    void framesOutOfOrderAreReported() {
         ContentAssembler a = new ContentAssembler(10);
         assertEquals(ContentAssembler.Step.COMPLETE, a.method(false));
         assertEquals(ContentAssembler.Step.UNEXPECTED, a.header(1));
@@ -240,12 +243,12 @@
     // ---- logins ----
 
     @Test
-    void wrongSecretsAreBoundedAndSlowedAndOthersUnharmed() {
+    void wrongSecretsAreLimitedAndDelayedWithoutAffectingOthers() {
         LoginThrottle guard = new LoginThrottle(1, 8);
         assertEquals(LoginThrottle.Verdict.CHECK, guard.admit("eve"));
         assertEquals(LoginThrottle.Verdict.WAIT, guard.admit("eve"));
         assertEquals(LoginThrottle.Verdict.WAIT, guard.admit("eve"));
-        assertEquals(LoginThrottle.Verdict.REJECT, guard.admit("eve"), "a quarter of the places at most");
+        assertEquals(LoginThrottle.Verdict.REJECT, guard.admit("eve"), "one name may use a quarter of the waiting places");
         assertEquals(LoginThrottle.Verdict.WAIT, guard.admit("desk"));
         assertTrue(guard.checkFinished());
         guard.startQueued("eve");
@@ -260,35 +263,35 @@
             delays.add(guard.recordFailure("eve", i));
         }
         assertEquals(List.of(250.0, 500.0, 1000.0, 2000.0, 4000.0, 8000.0, 8000.0, 8000.0), delays);
-        assertEquals(250, guard.recordFailure("desk", 8), "each name by itself");
-        assertEquals(250, guard.recordFailure("eve", 70_000), "after a minute it is forgotten");
+        assertEquals(250, guard.recordFailure("desk", 8), "failures count per name");
+        assertEquals(250, guard.recordFailure("eve", 70_000), "failures are forgotten after a minute");
         for (int i = 10; i < 32; i++) {
             assertTrue(guard.recordFailure("eve", 70_000) > 0);
         }
-        assertEquals(0, guard.recordFailure("desk", 70_000), "so many are held back at once, no more");
+        assertEquals(0, guard.recordFailure("desk", 70_000), "at most 32 answers are delayed at the same time");
         guard.failureAnswered();
         guard.failureAnswered();
         assertTrue(guard.recordFailure("desk", 70_000) > 0);
     }
 
-    // ---- who is read ----
+    // ---- back pressure ----
 
     @Test
-    void aConnectionIsPausedAtItsMarkAndReadAgainAtHalfOfIt() {
+    void aConnectionIsPausedAtItsLimitAndResumedAtHalfOfIt() {
         Backpressure p = new Backpressure(new Backpressure.Load(4, 1000), new Backpressure.Load(100, 10_000));
         assertTrue(p.addLoad(1, 3, 30));
         assertFalse(p.addLoad(1, 1, 10));
         assertTrue(p.mayRead(2));
-        assertFalse(p.addLoad(1, -1, -10), "not at once");
+        assertFalse(p.addLoad(1, -1, -10), "it is not resumed right below the limit");
         assertTrue(p.addLoad(1, -2, -20));
-        assertFalse(p.addLoad(2, 1, 1000), "octets count too");
+        assertFalse(p.addLoad(2, 1, 1000), "octets are limited too");
         p.connectionClosed(2);
         assertEquals(Set.of(), p.paused());
     }
 
-    /** With all together over their mark, one that has little is read on, and some that have much are not. */
+    /** When all connections together exceed the limit, those with little load are still read and those with much are not. */
     @Property(tries = 500, seed = "20261201")
-    void theBoundOfAllHoldsAndNobodyStarves(@ForAll long seed) {
+    void theTotalLimitHoldsAndNoConnectionStarves(@ForAll long seed) {
         Random random = new Random(seed);
         int bound = 50;
         Backpressure p = new Backpressure(new Backpressure.Load(20, 1 << 20), new Backpressure.Load(bound, 1 << 20));
@@ -305,16 +308,16 @@
                 has[who]--;
                 all--;
             }
-            assertTrue(all <= 2 * bound, "over the bound: " + all);
+            assertTrue(all <= 2 * bound, "over twice the limit: " + all);
             assertTrue(has[who] <= 20);
             if (has[who] == 0) {
-                assertTrue(p.mayRead(who), "one that has nothing is read");
+                assertTrue(p.mayRead(who), "a connection without load is read");
             }
         }
     }
 
     @Test
-    void bodiesThatHaveBegunAreBoundedByThemselves() {
+    void incompleteBodiesAreLimitedSeparately() {
         Backpressure p = new Backpressure(new Backpressure.Load(4, 1000), new Backpressure.Load(100, 1500));
         assertTrue(p.tryStartBody(1, 600));
         assertFalse(p.tryStartBody(1, 600));
@@ -329,13 +332,13 @@
     // ---- consumers as endpoints ----
 
     @Test
-    void oneThatReturnsUnderItsNameIsTheSameEndpoint() {
+    void aConsumerThatReturnsUnderItsNameIsTheSameEndpoint() {
         ConsumerRegistry c = new ConsumerRegistry(1000);
         String name = ConsumerRegistry.endpointName("q", "u", "t");
         assertTrue(c.canAdd(name, "q", false));
         assertEquals(List.of(new ConsumerRegistry.EndpointUpdate("q/u/t", "q", true, false)), c.add(name, "q", false, 0));
-        assertFalse(c.canAdd(name, "q", false), "each name once");
-        assertFalse(c.canAdd("q/u/x", "q", true), "exclusive, beside another");
+        assertFalse(c.canAdd(name, "q", false), "names are unique");
+        assertFalse(c.canAdd("q/u/x", "q", true), "an exclusive one beside another");
         assertTrue(c.canAdd("q/u/x", "q", false) && c.count("q") == 1);
         assertEquals(List.of(new ConsumerRegistry.EndpointUpdate("q/u/t", "q", false, false)), c.remove(name, 100));
         assertEquals(1100, c.nextExpiryMs().orElseThrow());
@@ -343,14 +346,14 @@
         assertTrue(c.canAdd(name, "q", true));
         c.add(name, "q", true, 0);
         assertFalse(c.canAdd("q/u/x", "q", false), "beside an exclusive one");
-        assertEquals(List.of(), c.removeExpired(5000), "it is here");
+        assertEquals(List.of(), c.removeExpired(5000), "a present consumer does not expire");
         c.remove(name, 5000);
         assertEquals(List.of(new ConsumerRegistry.EndpointUpdate("q/u/t", "q", false, true)), c.removeExpired(6000));
         assertTrue(c.nextExpiryMs().isEmpty() && c.count("q") == 0);
     }
 
     @Test
-    void thoseOfALowerPriorityStandBy() {
+    void consumersOfLowerPriorityStandBy() {
         ConsumerRegistry c = new ConsumerRegistry(1000);
         c.add("low", "q", false, 0);
         assertEquals(List.of(new ConsumerRegistry.EndpointUpdate("low", "q", false, false),
@@ -358,7 +361,7 @@
                 c.add("high", "q", false, 5));
         assertEquals(List.of(new ConsumerRegistry.EndpointUpdate("lower", "q", false, false)), c.add("lower", "q", false, -1));
         assertEquals(List.of(new ConsumerRegistry.EndpointUpdate("other", "p", true, false)),
-                c.add("other", "p", false, -9), "of its queue");
+                c.add("other", "p", false, -9), "priority is compared within a queue");
         assertEquals(List.of(new ConsumerRegistry.EndpointUpdate("low", "q", true, false),
                 new ConsumerRegistry.EndpointUpdate("high", "q", false, false)),
                 c.remove("high", 10));
