--- a/src/main/java/slipfield/work/decide/Cost.java
+++ b/src/main/java/slipfield/work/decide/Cost.java
@@ -1,11 +1,11 @@
 package slipfield.work.decide;
 
 /**
- * What a slice took.
+ * The cost of one slice of a job.
  *
- * @param cpuMs milliseconds of CPU
- * @param bytes written
- * @param more whether the job goes on
+ * @param cpuMs CPU time in milliseconds
+ * @param bytes bytes written to disk
+ * @param more whether the job needs further slices
  */
 public record Cost(double cpuMs, long bytes, boolean more) {
 }
--- a/src/main/java/slipfield/work/decide/Grade.java
+++ b/src/main/java/slipfield/work/decide/Grade.java
@@ -1,13 +1,13 @@
 package slipfield.work.decide;
 
-/** How soon work matters; the order is that of importance. */
+/** The urgency of background work, most urgent first. */
 public enum Grade {
-    /** Final answers wait for it: it goes before all else, and runs also while the loop is late. */
+    /** Final answers depend on it: it runs before all other work, also while the event loop is late. */
     ENDS,
-    /** What is in service is worse without it. */
+    /** The running service degrades without it. */
     LIVE,
-    /** It should be done before long. */
+    /** It should be done soon. */
     SOON,
-    /** Nobody waits for it; where there is too much work it is shed. */
+    /** Nothing depends on it; it is shed if there are too many jobs. */
     IDLE
 }
--- a/src/main/java/slipfield/work/decide/Job.java
+++ b/src/main/java/slipfield/work/decide/Job.java
@@ -3,31 +3,33 @@
 import java.util.Set;
 
 /**
- * Something to do, in one slice or many.
+ * A job of background work, which runs in one slice or in several.
  *
- * @param name for people
- * @param kind one that the scheduler knows
- * @param dueMs when it may begin
- * @param deadlineMs when it should have ended: among equals the nearest goes first; infinite: no matter
- * @param periodMs 0: once; else it is due again so long after it was due, and periods that were missed are passed over
- * @param jitter share of the period, 0 to 1, by which it is drawn later: lest all fall due in one moment
- * @param after numbers of jobs that must have ended before
+ * @param name for display
+ * @param kind name of its kind of work, which the scheduler must know
+ * @param dueMs the earliest time at which it may start
+ * @param deadlineMs when it should be done: of jobs with equal rank the one with the earliest deadline runs first; infinite:
+ *     no deadline
+ * @param periodMs 0: it runs once; otherwise it is due again one period after it was due, and missed periods are skipped
+ * @param jitter share of the period, 0 to 1: a random delay of up to that much is added to each period, so that not all jobs
+ *     fall due at the same moment
+ * @param after numbers of the jobs that must be done before
  */
 public record Job(String name, String kind, double dueMs, double deadlineMs, double periodMs, double jitter, Set<Long> after) {
-    /** Checks what no job can mean. */
+    /** Throws {@link IllegalArgumentException} for values out of range. */
     public Job {
         if (!(periodMs >= 0) || !(jitter >= 0) || jitter > 1 || Double.isNaN(dueMs) || Double.isNaN(deadlineMs)) {
-            throw new IllegalArgumentException("no times for a job: " + name);
+            throw new IllegalArgumentException("invalid times of the job " + name);
         }
         after = Set.copyOf(after);
     }
 
-    /** One that is done once, as soon as there is room. */
+    /** A job that runs once, as soon as budgets allow. */
     public static Job once(String name, String kind, double now) {
         return new Job(name, kind, now, Double.POSITIVE_INFINITY, 0, 0, Set.of());
     }
 
-    /** One that is done again and again, the first time after one period. */
+    /** A job that runs periodically, the first time after one period. */
     public static Job every(String name, String kind, double now, double periodMs, double jitter) {
         return new Job(name, kind, now + periodMs, Double.POSITIVE_INFINITY, periodMs, jitter, Set.of());
     }
--- a/src/main/java/slipfield/work/decide/Scheduler.java
+++ b/src/main/java/slipfield/work/decide/Scheduler.java
@@ -14,52 +14,65 @@
 import java.util.TreeSet;
 
 /**
- * Which slice of background work is done next. Pure: it is told the time, how late the loop is and what slices cost.
+ * Decides which slice of background work runs next. Pure logic: callers pass the time, the lateness of the event loop and the
+ * cost of slices.
  *
- * <p>Each grade stands behind the one before it by {@link #GRADE_STEP_MS}: a job's rank is when it fell due plus that
- * for each grade,
- * so that what waits rises, and whatever is due now passes it only for so long. {@link Grade#ENDS} is outside of that: it goes
- * first always, and alone while the loop is late. Work takes from two buckets, its kind's and that of all background work,
- * which ENDS does not. Not thread-safe; times are milliseconds of a clock that may be set back, which costs nothing but
- * waiting.
+ * <p>Jobs run in the order of their rank, which is the time when a job fell due plus {@link #GRADE_STEP_MS} per grade below
+ * the highest. So a waiting job of a lower grade is overtaken only by jobs that fall due within that time, and does not
+ * starve. {@link Grade#ENDS} is exempt: it always runs first, and alone while the loop is late. Work is charged to two token
+ * buckets, one of its kind and one of all background work; ENDS does not wait for either, and is not charged to the common
+ * one. Not thread-safe. Times are in milliseconds; if the clock is set back, jobs wait longer and nothing else happens.
  */
 public final class Scheduler {
-    /** By so much each grade stands behind the one before it. */
+    /** Added to a job's rank for each grade below the highest, in milliseconds. */
     public static final double GRADE_STEP_MS = 2000;
-    /** From here on the loop is late, and nothing but ENDS runs. */
+    /** Lateness of the event loop, in milliseconds, from which on only ENDS runs. */
     public static final double LATE_LOOP_MS = 50;
-    /** A job that throws waits so long before its next slice, doubled each time, and is set aside after so many in a row. */
+    /** Pause after a slice that threw, doubled each time; the job is given up after MAX_THROWS in a row. */
     private static final double FIRST_PAUSE_MS = 100;
-    private static final double LONGEST_PAUSE_MS = 60_000;
-    private static final int MOST_THROWS = 8;
+    private static final double MAX_PAUSE_MS = 60_000;
+    private static final int MAX_THROWS = 8;
 
-    /** A slice to be done now. */
+    /** A slice to run now. */
     public record Slice(long job, String name, String kind, boolean blocks) {
     }
 
-    /** A kind as people see it; {@code stopped}: why, or empty. */
+    /**
+     * The state of a kind of work, for display; written to a JSON file under these names.
+     *
+     * @param due jobs that may run now
+     * @param later jobs that are due later
+     * @param running jobs with a running slice
+     * @param slices slices that have ended
+     * @param shed jobs that were shed
+     * @param thrown slices that threw
+     * @param cpuMs CPU time used, in milliseconds
+     * @param bytes bytes written
+     * @param longestWaitMs the longest time that a job waited for a slice after it fell due, in milliseconds
+     * @param stopped why the kind was stopped; empty: it was not
+     */
     public record Report(String kind, Grade grade, int due, int later, int running, long slices, long shed, long thrown,
             double cpuMs, long bytes, double longestWaitMs, String stopped) {
     }
 
-    private final class OfKind {
+    private final class KindState {
         private final Kind kind;
         private final TokenBucket cpu;
         private final TokenBucket bytes;
-        private final TreeSet<Entry> due = new TreeSet<>(Comparator.comparingDouble((Entry e) -> e.rank)
+        private final TreeSet<JobEntry> due = new TreeSet<>(Comparator.comparingDouble((JobEntry e) -> e.rank)
                 .thenComparingDouble(e -> e.job.deadlineMs()).thenComparingLong(e -> e.number));
         private int later;
         private int running;
-        private int inTurn;
+        private int slicesInIteration;
         private long slices;
         private long shed;
         private long thrown;
         private double cpuMs;
-        private long written;
-        private double longestWait;
+        private long bytesWritten;
+        private double longestWaitMs;
         private String stopped = "";
 
-        private OfKind(Kind kind, double now) {
+        private KindState(Kind kind, double now) {
             this.kind = kind;
             this.cpu = new TokenBucket(kind.cpuShare(), kind.burstMs(), now);
             this.bytes = kind.bytesPerSecond() == 0 ? null : new TokenBucket(kind.bytesPerSecond() / 1000.0,
@@ -67,88 +80,89 @@
         }
 
         private boolean mayRun(double now, boolean late) {
-            if (!stopped.isEmpty() || due.isEmpty() || inTurn >= kind.slicesPerIteration()) {
+            if (!stopped.isEmpty() || due.isEmpty() || slicesInIteration >= kind.slicesPerIteration()) {
                 return false;
             }
-            Entry first = due.first();
+            JobEntry first = due.first();
             boolean ends = first.grade == Grade.ENDS;
-            // Each is asked, also where one says no: a clock that was set back is seen by all of them at once.
-            boolean has = cpu.has(now) & (bytes == null || bytes.has(now)) & all.has(now);
-            return ends || !late && has;
+            // No short-circuit: every bucket must see the time, so that all notice a clock that was set back.
+            boolean hasBudget = cpu.hasTokens(now) & (bytes == null || bytes.hasTokens(now)) & total.hasTokens(now);
+            return ends || !late && hasBudget;
         }
     }
 
-    private static final class Entry {
+    private static final class JobEntry {
         private final long number;
         private final Job job;
-        private final OfKind of;
+        private final KindState kindState;
         private final Set<Long> after;
         private Grade grade;
         private double dueMs;
         private double rank;
-        private int thrown;
+        private int throwsInRow;
         private State state = State.LATER;
-        private double begunMs;
+        private double startedMs;
 
-        private Entry(long number, Job job, OfKind of, Set<Long> after) {
+        private JobEntry(long number, Job job, KindState kindState, Set<Long> after) {
             this.number = number;
             this.job = job;
-            this.of = of;
+            this.kindState = kindState;
             this.after = after;
-            this.grade = of.kind.grade();
+            this.grade = kindState.kind.grade();
             this.dueMs = job.dueMs();
         }
     }
 
     private enum State {
-        LATER, DUE, RUNNING, GONE
+        LATER, DUE, RUNNING, REMOVED
     }
 
-    private final int most;
+    private final int maxJobs;
     private final SplittableRandom random;
-    private final TokenBucket all;
-    private final Map<String, OfKind> kinds = new LinkedHashMap<>();
-    private final Map<Long, Entry> jobs = new HashMap<>();
-    /** Whose slice runs; one that was called off is still here until that has ended. */
-    private final Map<Long, Entry> running = new HashMap<>();
+    private final TokenBucket total;
+    private final Map<String, KindState> kinds = new LinkedHashMap<>();
+    private final Map<Long, JobEntry> jobs = new HashMap<>();
+    /** Jobs with a running slice; a cancelled one stays here until its slice has ended. */
+    private final Map<Long, JobEntry> running = new HashMap<>();
     private final Map<Long, Set<Long>> dependents = new HashMap<>();
-    private final PriorityQueue<Entry> later = new PriorityQueue<>(Comparator.comparingDouble((Entry e) -> e.dueMs)
+    private final PriorityQueue<JobEntry> later = new PriorityQueue<>(Comparator.comparingDouble((JobEntry e) -> e.dueMs)
             .thenComparingLong(e -> e.number));
     private final List<String> events = new ArrayList<>();
-    private long last;
+    private long lastNumber;
 
     /**
-     * For so many jobs at most.
+     * A scheduler without kinds of work.
      *
-     * @param cpuShare of one core for all background work but ENDS
-     * @param burstMs of CPU that it may have saved up
+     * @param maxJobs jobs known at the same time
+     * @param cpuShare CPU budget of all background work but ENDS, as a share of one core
+     * @param burstMs CPU time that it may save up, in milliseconds
+     * @param seed of the random jitter of periodic jobs
      */
-    public Scheduler(int most, double cpuShare, double burstMs, long seed, double now) {
-        this.most = most;
-        this.all = new TokenBucket(cpuShare, burstMs, now);
+    public Scheduler(int maxJobs, double cpuShare, double burstMs, long seed, double now) {
+        this.maxJobs = maxJobs;
+        this.total = new TokenBucket(cpuShare, burstMs, now);
         this.random = new SplittableRandom(seed);
     }
 
-    /** A kind of work; its name may not be known yet. */
+    /** Adds a kind of work; throws {@link IllegalArgumentException} if there is one of this name. */
     public void addKind(Kind kind, double now) {
-        if (kinds.putIfAbsent(kind.name(), new OfKind(kind, now)) != null) {
-            throw new IllegalArgumentException("there is a kind of this name: " + kind.name());
+        if (kinds.putIfAbsent(kind.name(), new KindState(kind, now)) != null) {
+            throw new IllegalArgumentException("a kind of work with this name exists already: " + kind.name());
         }
     }
 
     // ---- jobs ----
 
     /**
-     * Takes a job on.
-     *
-     * @return its number; empty: there are too many, and none that is idle to be shed for it
+     * Adds a job, and returns its number. Empty if there are too many jobs and none of grade IDLE can be shed for it. Throws
+     * {@link IllegalArgumentException} if its kind is unknown.
      */
     public Optional<Long> add(Job job, double now) {
-        OfKind of = kinds.get(job.kind());
-        if (of == null) {
-            throw new IllegalArgumentException("no kind of work of this name: " + job.kind());
+        KindState kindState = kinds.get(job.kind());
+        if (kindState == null) {
+            throw new IllegalArgumentException("unknown kind of work: " + job.kind());
         }
-        if (jobs.size() >= most && !shed(of.kind.grade())) {
+        if (jobs.size() >= maxJobs && !shed(kindState.kind.grade())) {
             return Optional.empty();
         }
         Set<Long> after = new HashSet<>();
@@ -157,72 +171,76 @@
                 after.add(before);
             }
         }
-        Entry entry = new Entry(++last, job, of, after);
+        JobEntry entry = new JobEntry(++lastNumber, job, kindState, after);
         jobs.put(entry.number, entry);
         after.forEach(before -> dependents.computeIfAbsent(before, b -> new HashSet<>()).add(entry.number));
-        wait(entry, job.dueMs());
-        fallDue(now);
+        setDue(entry, job.dueMs());
+        moveDue(now);
         return Optional.of(entry.number);
     }
 
-    /** The idle job that would come last makes room for one that is not idle. */
+    /** Removes the job of grade IDLE that is due last, to make room for a job of a higher grade; false if there is none. */
     private boolean shed(Grade wanted) {
         if (wanted == Grade.IDLE) {
             return false;
         }
-        Entry idlest = null;
-        for (Entry e : jobs.values()) {
-            boolean can = e.grade == Grade.IDLE && e.state != State.RUNNING && e.job.periodMs() == 0;
-            if (can && (idlest == null || e.dueMs > idlest.dueMs || e.dueMs == idlest.dueMs && e.number > idlest.number)) {
-                idlest = e;
+        JobEntry victim = null;
+        for (JobEntry e : jobs.values()) {
+            boolean sheddable = e.grade == Grade.IDLE && e.state != State.RUNNING && e.job.periodMs() == 0;
+            if (sheddable && (victim == null || e.dueMs > victim.dueMs || e.dueMs == victim.dueMs && e.number > victim.number)) {
+                victim = e;
             }
         }
-        if (idlest == null) {
+        if (victim == null) {
             return false;
         }
-        idlest.of.shed++;
-        events.add("shed " + idlest.job.name());
-        remove(idlest, false);
+        victim.kindState.shed++;
+        events.add("shed " + victim.job.name());
+        remove(victim, false);
         return true;
     }
 
-    /** Calls a job off, and all that come after it; a slice that runs ends, and is its last. */
+    /** Cancels a job and all jobs that depend on it. A running slice is not interrupted, but it is the last one. */
     public void cancel(long number) {
-        Entry entry = jobs.get(number);
+        JobEntry entry = jobs.get(number);
         if (entry != null) {
             remove(entry, false);
         }
     }
 
-    /** A job is of this grade from now on: what frees room must not wait behind those that wait for room. */
+    /**
+     * Raises the grade of a job, and makes it due unless it waits for other jobs; a grade that is not higher is ignored. Used
+     * for work that frees resources, which must not wait behind the work that needs them.
+     */
     public void raiseGrade(long number, Grade grade, double now) {
-        Entry entry = jobs.get(number);
+        JobEntry entry = jobs.get(number);
         if (entry == null || grade.compareTo(entry.grade) >= 0) {
             return;
         }
         boolean due = entry.state == State.DUE;
         if (due) {
-            entry.of.due.remove(entry);
+            entry.kindState.due.remove(entry);
         }
         entry.grade = grade;
         entry.rank = entry.dueMs + grade.ordinal() * GRADE_STEP_MS;
         if (due) {
-            entry.of.due.add(entry);
+            entry.kindState.due.add(entry);
         } else if (entry.state == State.LATER && entry.after.isEmpty()) {
             later.remove(entry);
-            entry.of.later--;
-            wait(entry, now);
-            fallDue(now);
+            entry.kindState.later--;
+            setDue(entry, now);
+            moveDue(now);
         }
     }
 
-    private void remove(Entry entry, boolean done) {
+    /** Removes a job; {@code done}: it was completed, so the jobs that depend on it may run; otherwise they are removed too. */
+    private void remove(JobEntry entry, boolean done) {
         if (entry.state == State.DUE) {
-            entry.of.due.remove(entry);
+            entry.kindState.due.remove(entry);
         } else if (entry.state == State.LATER && later.remove(entry)) {
-            entry.of.later--;
+            entry.kindState.later--;
         }
-        entry.state = State.GONE;
+        entry.state = State.REMOVED;
         jobs.remove(entry.number);
         entry.after.forEach(before -> dependents.getOrDefault(before, Set.of()).remove(entry.number));
         Set<Long> next = dependents.remove(entry.number);
@@ -230,57 +248,60 @@
             return;
         }
         for (long number : List.copyOf(next)) {
-            Entry waits = jobs.get(number);
-            if (waits == null) {
+            JobEntry dependent = jobs.get(number);
+            if (dependent == null) {
                 continue;
             }
-            waits.after.remove(entry.number);
+            dependent.after.remove(entry.number);
             if (!done) {
-                events.add("called off " + waits.job.name() + ": " + entry.job.name() + " did not end");
-                remove(waits, false);
-            } else if (waits.after.isEmpty()) {
-                wait(waits, waits.dueMs);
+                events.add("cancelled " + dependent.job.name() + ": " + entry.job.name() + " was not completed");
+                remove(dependent, false);
+            } else if (dependent.after.isEmpty()) {
+                setDue(dependent, dependent.dueMs);
             }
         }
     }
 
-    private void wait(Entry entry, double dueMs) {
+    private void setDue(JobEntry entry, double dueMs) {
         entry.dueMs = dueMs;
         entry.rank = dueMs + entry.grade.ordinal() * GRADE_STEP_MS;
         entry.state = State.LATER;
         if (entry.after.isEmpty()) {
             later.add(entry);
-            entry.of.later++;
+            entry.kindState.later++;
         }
     }
 
-    private void fallDue(double now) {
+    private void moveDue(double now) {
         while (!later.isEmpty() && later.peek().dueMs <= now) {
-            Entry entry = later.poll();
-            entry.of.later--;
+            JobEntry entry = later.poll();
+            entry.kindState.later--;
             entry.state = State.DUE;
-            entry.of.due.add(entry);
+            entry.kindState.due.add(entry);
         }
     }
 
     // ---- slices ----
 
-    /** The loop's turn begins: each kind may have its slices of it. */
+    /** Starts an event-loop iteration: each kind may run its number of slices again. */
     public void beginIteration() {
-        kinds.values().forEach(k -> k.inTurn = 0);
+        kinds.values().forEach(k -> k.slicesInIteration = 0);
     }
 
-    /** The slice to be done next, if any may be; it runs from now on until {@link #sliceDone} or {@link #sliceThrew}. */
+    /**
+     * Returns the slice to run next, or empty if none may run now. It counts as running until {@link #sliceDone} or
+     * {@link #sliceThrew} is called. {@code latenessMs}: lateness of the event loop in milliseconds.
+     */
     public Optional<Slice> next(double now, double latenessMs) {
-        fallDue(now);
+        moveDue(now);
         boolean late = latenessMs >= LATE_LOOP_MS;
-        Entry best = null;
-        for (OfKind of : kinds.values()) {
-            if (of.mayRun(now, late)) {
-                Entry first = of.due.first();
+        JobEntry best = null;
+        for (KindState kindState : kinds.values()) {
+            if (kindState.mayRun(now, late)) {
+                JobEntry first = kindState.due.first();
                 boolean ends = first.grade == Grade.ENDS;
                 boolean bestEnds = best != null && best.grade == Grade.ENDS;
-                if (best == null || ends && !bestEnds || ends == bestEnds && before(first, best)) {
+                if (best == null || ends && !bestEnds || ends == bestEnds && ranksBefore(first, best)) {
                     best = first;
                 }
             }
@@ -288,138 +309,139 @@
         if (best == null) {
             return Optional.empty();
         }
-        OfKind of = best.of;
-        of.due.remove(best);
-        of.running++;
-        of.inTurn++;
-        of.longestWait = Math.max(of.longestWait, now - best.dueMs);
+        KindState kindState = best.kindState;
+        kindState.due.remove(best);
+        kindState.running++;
+        kindState.slicesInIteration++;
+        kindState.longestWaitMs = Math.max(kindState.longestWaitMs, now - best.dueMs);
         best.state = State.RUNNING;
-        best.begunMs = now;
+        best.startedMs = now;
         running.put(best.number, best);
-        return Optional.of(new Slice(best.number, best.job.name(), of.kind.name(), of.kind.blocks()));
+        return Optional.of(new Slice(best.number, best.job.name(), kindState.kind.name(), kindState.kind.blocks()));
     }
 
-    private static boolean before(Entry a, Entry b) {
+    private static boolean ranksBefore(JobEntry a, JobEntry b) {
         return a.rank < b.rank || a.rank == b.rank && (a.job.deadlineMs() < b.job.deadlineMs()
                 || a.job.deadlineMs() == b.job.deadlineMs() && a.number < b.number);
     }
 
-    /** A slice has ended. */
+    /** A slice has ended normally, with this cost. */
     public void sliceDone(long number, Cost cost, double now) {
-        Entry entry = ended(number, cost, now);
+        JobEntry entry = endSlice(number, cost, now);
         if (entry == null) {
             return;
         }
-        entry.thrown = 0;
+        entry.throwsInRow = 0;
         if (cost.more()) {
-            // Behind those of its rank that wait already: a long job lets others of its kind through.
-            wait(entry, now);
+            // It is due from now on, so a long job queues behind the others of its kind that are due already.
+            setDue(entry, now);
         } else if (entry.job.periodMs() > 0) {
-            entry.grade = entry.of.kind.grade();
+            entry.grade = entry.kindState.kind.grade();
             double period = entry.job.periodMs();
             double next = entry.dueMs + period;
-            // What was missed while the machine stood still is not made up for.
-            wait(entry, (next > now ? next : now + period) + random.nextDouble() * entry.job.jitter() * period);
+            // Periods that were missed, for instance while the machine was suspended, are skipped.
+            setDue(entry, (next > now ? next : now + period) + random.nextDouble() * entry.job.jitter() * period);
         } else {
             remove(entry, true);
         }
-        fallDue(now);
+        moveDue(now);
     }
 
-    /** A slice has thrown: the job waits, longer each time, and is set aside after some. */
+    /** A slice has thrown: the job is due again after a pause that doubles each time, and is given up after MAX_THROWS. */
     public void sliceThrew(long number, Cost cost, double now) {
-        Entry entry = ended(number, cost, now);
+        JobEntry entry = endSlice(number, cost, now);
         if (entry == null) {
             return;
         }
-        entry.of.thrown++;
-        if (++entry.thrown >= MOST_THROWS) {
-            events.add("set aside " + entry.job.name() + ": it threw " + MOST_THROWS + " times in a row");
+        entry.kindState.thrown++;
+        if (++entry.throwsInRow >= MAX_THROWS) {
+            events.add("gave up " + entry.job.name() + ": it threw " + MAX_THROWS + " times in a row");
             remove(entry, false);
         } else {
-            wait(entry, now + Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS * Math.pow(2, entry.thrown - 1)));
+            setDue(entry, now + Math.min(MAX_PAUSE_MS, FIRST_PAUSE_MS * Math.pow(2, entry.throwsInRow - 1)));
         }
     }
 
-    /** Whose slice it was; null if it was called off meanwhile, which costs the same. */
-    private Entry ended(long number, Cost cost, double now) {
-        Entry entry = running.remove(number);
+    /** Charges an ended slice, and returns its job; null if the job was cancelled meanwhile. */
+    private JobEntry endSlice(long number, Cost cost, double now) {
+        JobEntry entry = running.remove(number);
         if (entry == null) {
-            throw new IllegalStateException("no slice of job " + number + " runs");
+            throw new IllegalStateException("job " + number + " has no running slice");
         }
-        entry.of.running--;
+        entry.kindState.running--;
         charge(entry, cost, now);
-        return entry.state == State.GONE ? null : entry;
+        return entry.state == State.REMOVED ? null : entry;
     }
 
-    private void charge(Entry entry, Cost cost, double now) {
-        OfKind of = entry.of;
-        of.slices++;
-        of.cpuMs += cost.cpuMs();
-        of.written += cost.bytes();
-        of.cpu.take(now, cost.cpuMs());
-        if (of.bytes != null) {
-            of.bytes.take(now, cost.bytes());
+    private void charge(JobEntry entry, Cost cost, double now) {
+        KindState kindState = entry.kindState;
+        kindState.slices++;
+        kindState.cpuMs += cost.cpuMs();
+        kindState.bytesWritten += cost.bytes();
+        kindState.cpu.charge(now, cost.cpuMs());
+        if (kindState.bytes != null) {
+            kindState.bytes.charge(now, cost.bytes());
         }
         if (entry.grade != Grade.ENDS) {
-            all.take(now, cost.cpuMs());
+            total.charge(now, cost.cpuMs());
         }
-        if (!of.kind.blocks() && cost.cpuMs() > of.kind.maxSliceMs()) {
-            stop(entry, "a slice took " + Math.round(cost.cpuMs()) + " ms of the loop");
+        if (!kindState.kind.blocks() && cost.cpuMs() > kindState.kind.maxSliceMs()) {
+            stop(entry, "a slice took " + Math.round(cost.cpuMs()) + " ms on the event loop");
         }
     }
 
-    /** Looks for slices that do not end; a kind of which one does not is stopped, and told of. */
+    /** Stops each kind with a slice that runs for longer than {@link Kind#maxSliceMs}, and reports an event. */
     public void checkOverruns(double now) {
-        for (Entry entry : running.values()) {
-            if (now - entry.begunMs > entry.of.kind.maxSliceMs()) {
-                stop(entry, "a slice has not ended for " + Math.round(now - entry.begunMs) + " ms");
+        for (JobEntry entry : running.values()) {
+            if (now - entry.startedMs > entry.kindState.kind.maxSliceMs()) {
+                stop(entry, "a slice has not ended for " + Math.round(now - entry.startedMs) + " ms");
             }
         }
     }
 
-    private void stop(Entry entry, String why) {
-        if (entry.of.stopped.isEmpty()) {
-            entry.of.stopped = entry.job.name() + ": " + why;
-            events.add("stopped " + entry.of.kind.name() + ": " + entry.of.stopped);
+    private void stop(JobEntry entry, String why) {
+        if (entry.kindState.stopped.isEmpty()) {
+            entry.kindState.stopped = entry.job.name() + ": " + why;
+            events.add("stopped " + entry.kindState.kind.name() + ": " + entry.kindState.stopped);
         }
     }
 
-    // ---- what is told ----
+    // ---- reports ----
 
-    /** When {@link #next} may have something, if nothing else happens; infinite: never. */
+    /** When {@link #next} may return a slice if nothing else happens; infinite: never. */
     public double nextMs(double now) {
-        double soonest = later.isEmpty() ? Double.POSITIVE_INFINITY : later.peek().dueMs;
-        for (OfKind of : kinds.values()) {
-            if (of.stopped.isEmpty() && !of.due.isEmpty()) {
-                double ready = of.due.first().grade == Grade.ENDS ? now : Math.max(of.cpu.readyMs(now), all.readyMs(now));
-                soonest = Math.min(soonest, of.bytes == null || of.due.first().grade == Grade.ENDS ? ready
-                        : Math.max(ready, of.bytes.readyMs(now)));
+        double earliest = later.isEmpty() ? Double.POSITIVE_INFINITY : later.peek().dueMs;
+        for (KindState kindState : kinds.values()) {
+            if (kindState.stopped.isEmpty() && !kindState.due.isEmpty()) {
+                double ready = kindState.due.first().grade == Grade.ENDS ? now
+                        : Math.max(kindState.cpu.readyMs(now), total.readyMs(now));
+                earliest = Math.min(earliest, kindState.bytes == null || kindState.due.first().grade == Grade.ENDS ? ready
+                        : Math.max(ready, kindState.bytes.readyMs(now)));
             }
         }
-        return soonest;
+        return earliest;
     }
 
-    /** What people should hear, since it was last asked for. */
+    /** Returns the events for operators since the last call: jobs that were shed, cancelled or given up, kinds stopped. */
     public List<String> takeEvents() {
-        List<String> since = List.copyOf(events);
+        List<String> taken = List.copyOf(events);
         events.clear();
-        return since;
+        return taken;
     }
 
-    /** Whether a job is known: it has not ended, nor was it called off. */
+    /** Whether a job is known, that is, neither completed nor removed. */
     public boolean contains(long number) {
         return jobs.containsKey(number);
     }
 
-    /** Jobs that are known. */
+    /** Number of known jobs. */
     public int jobCount() {
         return jobs.size();
     }
 
-    /** Each kind, in the order in which they came. */
+    /** Reports each kind of work, in the order in which they were added. */
     public List<Report> report() {
         return kinds.values().stream().map(k -> new Report(k.kind.name(), k.kind.grade(), k.due.size(), k.later, k.running,
-                k.slices, k.shed, k.thrown, k.cpuMs, k.written, k.longestWait, k.stopped)).toList();
+                k.slices, k.shed, k.thrown, k.cpuMs, k.bytesWritten, k.longestWaitMs, k.stopped)).toList();
     }
 }
--- a/src/main/java/slipfield/work/decide/TokenBucket.java
+++ b/src/main/java/slipfield/work/decide/TokenBucket.java
@@ -1,42 +1,44 @@
 package slipfield.work.decide;
 
 /**
- * A token bucket that may go into debt by what one slice takes, since that is known only afterwards: nothing more is given
- * until the debt is paid. So in any stretch of time no more is used than the rate gives, the bucket holds, and one slice.
+ * A token bucket that may go into debt, since the cost of a slice is known only afterwards: no further slice starts until the
+ * debt is paid. So over any span of time the usage is at most what the rate gives, plus the bucket's capacity, plus one slice.
  */
 final class TokenBucket {
     private final double perMs;
-    private final double most;
+    private final double capacity;
     private double tokens;
     private double filledMs;
 
-    /** Full at the beginning; {@code perMs} above 0. */
-    TokenBucket(double perMs, double most, double now) {
+    /** Starts full. {@code perMs}: tokens gained per millisecond, above 0. */
+    TokenBucket(double perMs, double capacity, double now) {
         this.perMs = perMs;
-        this.most = most;
-        this.tokens = most;
+        this.capacity = capacity;
+        this.tokens = capacity;
         this.filledMs = now;
     }
 
     private void fill(double now) {
         if (now > filledMs) {
-            tokens = Math.min(most, tokens + (now - filledMs) * perMs);
+            tokens = Math.min(capacity, tokens + (now - filledMs) * perMs);
         }
-        // A time that went back fills nothing, and from there on it counts anew.
+        // If the clock was set back, nothing is added, and time counts from the new value on.
         filledMs = now;
     }
 
-    boolean has(double now) {
+    /** Whether there are tokens, that is, no debt. */
+    boolean hasTokens(double now) {
         fill(now);
         return tokens > 0;
     }
 
-    void take(double now, double used) {
+    /** Subtracts the cost of a slice; the bucket may go into debt. */
+    void charge(double now, double cost) {
         fill(now);
-        tokens -= used;
+        tokens -= cost;
     }
 
-    /** When it has something again; now, if it has. */
+    /** When there will be tokens again; {@code now} if there are some. */
     double readyMs(double now) {
         fill(now);
         return tokens > 0 ? now : now + -tokens / perMs + Math.ulp(now) * 2;
--- a/src/main/java/slipfield/work/decide/package-info.java
+++ b/src/main/java/slipfield/work/decide/package-info.java
@@ -1,2 +1,5 @@
-/** Which background work is done when: grades, budgets, dependencies, what is shed and what is stopped. Pure. */
+/**
+ * Scheduling of background work: grades, budgets, dependencies between jobs, which jobs are shed and which kinds of work are
+ * stopped. Pure logic: no I/O, no clock (callers pass the time).
+ */
 package slipfield.work.decide;
--- a/src/test/java/slipfield/amqp/decide/AmqpDecisionsTest.java
+++ b/src/test/java/slipfield/amqp/decide/AmqpDecisionsTest.java
@@ -213,7 +213,8 @@
         alive.sent(1900);
         assertEquals(HeartbeatMonitor.Action.NOTHING, alive.due(2000, true));
         assertEquals(HeartbeatMonitor.Action.PEER_LOST, alive.due(2001, true));
-        assertEquals(HeartbeatMonitor.Action.SEND_HEARTBEAT, alive.due(5000, false), "silence says nothing while the connection is not read");
+        assertEquals(HeartbeatMonitor.Action.SEND_HEARTBEAT, alive.due(5000, false),
+                "silence says nothing while the connection is not read");
         assertEquals(HeartbeatMonitor.Action.SEND_HEARTBEAT, alive.due(5900, true));
         assertEquals(HeartbeatMonitor.Action.PEER_LOST, alive.due(6001, true));
         assertEquals(HeartbeatMonitor.Action.NOTHING, new HeartbeatMonitor(0, 0).due(1e9, true));
@@ -293,25 +294,25 @@
     @Property(tries = 500, seed = "20261201")
     void theTotalLimitHoldsAndNoConnectionStarves(@ForAll long seed) {
         Random random = new Random(seed);
-        int bound = 50;
-        Backpressure p = new Backpressure(new Backpressure.Load(20, 1 << 20), new Backpressure.Load(bound, 1 << 20));
-        int[] has = new int[8];
-        int all = 0;
+        int limit = 50;
+        Backpressure backpressure = new Backpressure(new Backpressure.Load(20, 1 << 20), new Backpressure.Load(limit, 1 << 20));
+        int[] loads = new int[8];
+        int total = 0;
         for (int i = 0; i < 2000; i++) {
-            int who = random.nextInt(has.length);
-            if (random.nextInt(5) < 3 && p.mayRead(who)) {
-                p.addLoad(who, 1, 1);
-                has[who]++;
-                all++;
-            } else if (has[who] > 0) {
-                p.addLoad(who, -1, -1);
-                has[who]--;
-                all--;
+            int connection = random.nextInt(loads.length);
+            if (random.nextInt(5) < 3 && backpressure.mayRead(connection)) {
+                backpressure.addLoad(connection, 1, 1);
+                loads[connection]++;
+                total++;
+            } else if (loads[connection] > 0) {
+                backpressure.addLoad(connection, -1, -1);
+                loads[connection]--;
+                total--;
             }
-            assertTrue(all <= 2 * bound, "over twice the limit: " + all);
-            assertTrue(has[who] <= 20);
-            if (has[who] == 0) {
-                assertTrue(p.mayRead(who), "a connection without load is read");
+            assertTrue(total <= 2 * limit, "over twice the limit: " + total);
+            assertTrue(loads[connection] <= 20);
+            if (loads[connection] == 0) {
+                assertTrue(backpressure.mayRead(connection), "a connection without load is read");
             }
         }
     }
