--- a/src/main/java/slipfield/amqp/AmqpConfig.java
+++ b/src/main/java/slipfield/amqp/AmqpConfig.java
@@ -117,40 +117,41 @@
     }
 
     static AmqpConfig read(Section file, Known known) throws IOException, BadInput {
-        file.only("listen", "tls", "virtual_hosts", "users", "exchanges", "queues", "limits", "unconfirmed", "outbound", "inbound");
+        file.allowOnly("listen", "tls", "virtual_hosts", "users", "exchanges", "queues", "limits", "unconfirmed",
+                "outbound", "inbound");
         Optional<Tls> tls = Optional.empty();
         if (file.section("tls").isPresent()) {
-            Section t = file.section("tls").get().only("listen", "certificate", "key", "clients");
+            Section t = file.section("tls").get().allowOnly("listen", "certificate", "key", "clients");
             t.text("certificate");
             t.text("key");
             tls = Optional.of(new Tls(t.address("listen"), t.path("certificate").orElseThrow(),
                     t.path("key").orElseThrow(), t.path("clients")));
         }
         if (!file.has("listen") && tls.isEmpty()) {
-            throw file.wrong("listen", "is missing; write `listen: 127.0.0.1:5672`, or a part `tls`");
+            throw file.error("listen", "is missing; write `listen: 127.0.0.1:5672`, or a part `tls`");
         }
         RoutingTable routes = new RoutingTable();
         for (Section e : file.sections("exchanges")) {
-            routes.addExchange(e.only("name", "routes").text("name"), routes(e, known));
+            routes.addExchange(e.allowOnly("name", "routes").text("name"), routes(e, known));
         }
         Map<String, Queue> queues = new LinkedHashMap<>();
         for (Section q : file.sections("queues")) {
-            q.only("name", "destination", "kind", "zone");
+            q.allowOnly("name", "destination", "kind", "zone");
             Queue queue = new Queue(q.text("name"), destination(q), among(q, "kind", known.kinds()),
                     among(q, "zone", known.zones()));
             if (queues.put(queue.name(), queue) != null) {
-                throw q.wrong("name", "is there twice; keep one queue of this name");
+                throw q.error("name", "is there twice; keep one queue of this name");
             }
         }
         Map<String, User> users = new LinkedHashMap<>();
         for (Section u : file.sections("users")) {
             User user = user(u, known, routes, queues);
             if (users.put(user.name(), user) != null) {
-                throw u.wrong("name", "is there twice; keep one user of this name");
+                throw u.error("name", "is there twice; keep one user of this name");
             }
         }
         if (users.isEmpty()) {
-            throw file.wrong("users", "names nobody; write one `- {name: ..., secret: ...}` for each who may connect");
+            throw file.error("users", "names nobody; write one `- {name: ..., secret: ...}` for each who may connect");
         }
         Set<String> hosts = file.has("virtual_hosts") ? new HashSet<>(file.texts("virtual_hosts")) : Set.of("/");
         return new AmqpConfig(file.has("listen") ? Optional.of(file.address("listen")) : Optional.empty(), tls, hosts,
@@ -161,12 +162,12 @@
     private static List<Outbound> outbound(Section file, Known known) throws IOException, BadInput {
         List<Outbound> all = new ArrayList<>();
         for (Section o : file.sections("outbound")) {
-            o.only("name", "address", "virtual_host", "user", "password_file", "tls", "exchange", "key", "destination", "kind",
-                    "zone", "in_flight");
+            o.allowOnly("name", "address", "virtual_host", "user", "password_file", "tls", "exchange", "key", "destination",
+                    "kind", "zone", "in_flight");
             Broker broker = broker(o, all.stream().map(Outbound::broker).toList());
             all.add(new Outbound(broker, o.text("exchange", ""), o.text("key"), new Queue("out/" + broker.name(),
                     destination(o), among(o, "kind", known.kinds()), among(o, "zone", known.zones())),
-                    (int) o.whole("in_flight", 64, 1, 65_535)));
+                    (int) o.integer("in_flight", 64, 1, 65_535)));
         }
         return all;
     }
@@ -174,10 +175,10 @@
     private static List<Inbound> inbound(Section file, Known known, RoutingTable routes) throws IOException, BadInput {
         List<Inbound> all = new ArrayList<>();
         for (Section i : file.sections("inbound")) {
-            i.only("name", "address", "virtual_host", "user", "password_file", "tls", "queue", "exchange", "tenant",
+            i.allowOnly("name", "address", "virtual_host", "user", "password_file", "tls", "queue", "exchange", "tenant",
                     "prefetch");
             if (!routes.hasExchange(i.text("exchange"))) {
-                throw i.wrong("exchange", "names no exchange of this file: '" + i.text("exchange") + "'; its routes say where "
+                throw i.error("exchange", "names no exchange of this file: '" + i.text("exchange") + "'; its routes say where "
                         + "what is taken goes: add it under `exchanges`");
             }
             Broker broker = broker(i, all.stream().map(Inbound::broker).toList());
@@ -186,7 +187,7 @@
                 among(i, "tenant", known.tenants());
             }
             all.add(new Inbound(broker, i.text("queue"), i.text("exchange"), new User(broker.name(), Optional.empty(), tenant,
-                    Set.of(), Set.of()), (int) i.whole("prefetch", 64, 1, 65_535)));
+                    Set.of(), Set.of()), (int) i.integer("prefetch", 64, 1, 65_535)));
         }
         return all;
     }
@@ -194,28 +195,28 @@
     private static Broker broker(Section b, List<Broker> before) throws IOException, BadInput {
         String name = b.text("name");
         if (before.stream().anyMatch(other -> other.name().equals(name))) {
-            throw b.wrong("name", "is there twice; give each a name of its own");
+            throw b.error("name", "is there twice; give each a name of its own");
         }
         Optional<String> password = Optional.empty();
         if (b.has("password_file")) {
             Path file = b.path("password_file").orElseThrow();
             if (!Files.isReadable(file)) {
-                throw b.wrong("password_file", "can't be read: " + file + "; write the secret there, for the sender's user "
+                throw b.error("password_file", "can't be read: " + file + "; write the secret there, for the sender's user "
                         + "alone");
             }
             password = Optional.of(Files.readString(file).strip());
         }
         Optional<ClientTls> tls = Optional.empty();
         if (b.section("tls").isPresent()) {
-            Section t = b.section("tls").get().only("trust", "certificate", "key");
+            Section t = b.section("tls").get().allowOnly("trust", "certificate", "key");
             t.text("trust");
             if (t.has("certificate") != t.has("key")) {
-                throw t.wrong("certificate", "and key go together; write both, or neither");
+                throw t.error("certificate", "and key go together; write both, or neither");
             }
             tls = Optional.of(new ClientTls(t.path("trust").orElseThrow(), t.path("certificate"), t.path("key")));
         }
         if (password.isEmpty() && tls.flatMap(ClientTls::certificate).isEmpty()) {
-            throw b.wrong("password_file", "is missing; name a file that holds the secret, or a certificate under `tls`");
+            throw b.error("password_file", "is missing; name a file that holds the secret, or a certificate under `tls`");
         }
         return new Broker(name, b.address("address"), b.text("virtual_host", "/"), b.text("user", ""), password, tls);
     }
@@ -223,21 +224,21 @@
     private static List<RoutingTable.Route> routes(Section exchange, Known known) throws BadInput {
         List<RoutingTable.Route> routes = new ArrayList<>();
         for (Section r : exchange.sections("routes")) {
-            r.only("key", "class", "destination", "destination_word");
+            r.allowOnly("key", "class", "destination", "destination_word");
             if (r.has("destination") == r.has("destination_word")) {
-                throw r.wrong("destination", "or destination_word: one of the two; write `destination: 7`, or "
+                throw r.error("destination", "or destination_word: one of the two; write `destination: 7`, or "
                         + "`destination_word: 2` where the key's second word is its number");
             }
             r.text("class");
             routes.add(new RoutingTable.Route(r.text("key"), among(r, "class", known.classes()),
-                    r.has("destination") ? destination(r) : 0, (int) r.whole("destination_word", 0, 1, 100)));
+                    r.has("destination") ? destination(r) : 0, (int) r.integer("destination_word", 0, 1, 100)));
         }
         return routes;
     }
 
     private static long destination(Section s) throws BadInput {
         s.text("destination");
-        return s.whole("destination", 0, 0, Long.MAX_VALUE);
+        return s.integer("destination", 0, 0, Long.MAX_VALUE);
     }
 
     private static String among(Section s, String key, List<String> names) throws BadInput {
@@ -246,12 +247,12 @@
     }
 
     private static User user(Section u, Known known, RoutingTable routes, Map<String, Queue> queues) throws BadInput {
-        u.only("name", "secret", "tenant", "publish", "consume");
+        u.allowOnly("name", "secret", "tenant", "publish", "consume");
         Optional<Secret> secret = Optional.empty();
         if (u.has("secret")) {
             secret = Secret.parse(u.text("secret"));
             if (secret.isEmpty()) {
-                throw u.wrong("secret", "is no hashed secret; make one by `bin/slipfield amqp secret`");
+                throw u.error("secret", "is no hashed secret; make one by `bin/slipfield amqp secret`");
             }
         }
         String tenant = u.text("tenant", "");
@@ -260,12 +261,12 @@
         }
         for (String exchange : u.texts("publish")) {
             if (!routes.hasExchange(exchange)) {
-                throw u.wrong("publish", "names no exchange of this file: '" + exchange + "'; add it under `exchanges`");
+                throw u.error("publish", "names no exchange of this file: '" + exchange + "'; add it under `exchanges`");
             }
         }
         for (String queue : u.texts("consume")) {
             if (!queues.containsKey(queue)) {
-                throw u.wrong("consume", "names no queue of this file: '" + queue + "'; add it under `queues`");
+                throw u.error("consume", "names no queue of this file: '" + queue + "'; add it under `queues`");
             }
         }
         return new User(u.text("name"), secret, tenant, Set.copyOf(u.texts("publish")), Set.copyOf(u.texts("consume")));
@@ -277,17 +278,17 @@
             return new Limits(256, new Tuning(64, 131_072, 10_000), 65_536, new Backpressure.Load(512, 1 << 20),
                     new Backpressure.Load(2000, 4 << 20), 64, 60_000, 30_000, KNOWN_IDS);
         }
-        l.only("connections", "channels", "frame_octets", "heartbeat", "body_octets", "unsettled_each", "unsettled_each_kb",
+        l.allowOnly("connections", "channels", "frame_octets", "heartbeat", "body_octets", "unsettled_each", "unsettled_each_kb",
                 "unsettled", "unsettled_kb", "prefetch", "ack_within", "away", "known_ids");
-        return new Limits((int) l.whole("connections", 256, 1, 65_536),
-                new Tuning((int) l.whole("channels", 64, 1, 65_535), (int) l.whole("frame_octets", 131_072, 4096, 1 << 24),
+        return new Limits((int) l.integer("connections", 256, 1, 65_536),
+                new Tuning((int) l.integer("channels", 64, 1, 65_535), (int) l.integer("frame_octets", 131_072, 4096, 1 << 24),
                         l.millis("heartbeat", 10_000, 0, 3_600_000)),
-                (int) l.whole("body_octets", 65_536, 0, 1 << 24),
-                new Backpressure.Load((int) l.whole("unsettled_each", 512, 1, 1_000_000),
-                        1024 * l.whole("unsettled_each_kb", 1024, 1, 1 << 20)),
-                new Backpressure.Load((int) l.whole("unsettled", 2000, 1, 1_000_000),
-                        1024 * l.whole("unsettled_kb", 4096, 1, 1 << 20)),
-                (int) l.whole("prefetch", 64, 1, 65_535), l.millis("ack_within", 60_000, 1000, LONGEST_MS),
-                l.millis("away", 30_000, 0, LONGEST_MS), (int) l.whole("known_ids", KNOWN_IDS, 4096, 10_000_000));
+                (int) l.integer("body_octets", 65_536, 0, 1 << 24),
+                new Backpressure.Load((int) l.integer("unsettled_each", 512, 1, 1_000_000),
+                        1024 * l.integer("unsettled_each_kb", 1024, 1, 1 << 20)),
+                new Backpressure.Load((int) l.integer("unsettled", 2000, 1, 1_000_000),
+                        1024 * l.integer("unsettled_kb", 4096, 1, 1 << 20)),
+                (int) l.integer("prefetch", 64, 1, 65_535), l.millis("ack_within", 60_000, 1000, LONGEST_MS),
+                l.millis("away", 30_000, 0, LONGEST_MS), (int) l.integer("known_ids", KNOWN_IDS, 4096, 10_000_000));
     }
 }
--- a/src/main/java/slipfield/cli/JournalCommand.java
+++ b/src/main/java/slipfield/cli/JournalCommand.java
@@ -13,8 +13,8 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import slipfield.journal.Claim;
-import slipfield.journal.Held;
+import slipfield.journal.AnswerRecipient;
+import slipfield.journal.PendingMessage;
 import slipfield.journal.JournalReader;
 
 /** A look into a journal; it is never changed, also while a sender writes to it. */
@@ -49,26 +49,26 @@
             return 1;
         }
         PrintWriter out = spec.commandLine().getOut();
-        for (Held held : journal.held()) {
+        for (PendingMessage held : journal.pendingMessages()) {
             out.printf("%s  class %s, tenant %s, destination %d, %d bytes, until %s%n", held.id, held.messageClass,
                     held.tenant, held.destination, held.body.length, Instant.ofEpochMilli(held.deadlineMs));
-            for (Held.Attempt attempt : held.attempts) {
+            for (PendingMessage.Attempt attempt : held.attempts) {
                 out.printf("    attempt at %s, %s: %s%n", attempt.endpoint.isEmpty() ? "?" : attempt.endpoint,
                         Instant.ofEpochMilli(attempt.sentAtMs), attempt.neverRan ? "never ran" : "may have run");
             }
             out.printf("    %s%n", owed(held));
         }
-        out.printf("%d held; %d ids that are over%n", journal.held().size(), journal.over().size());
+        out.printf("%d held; %d ids that are over%n", journal.pendingMessages().size(), journal.completedIds().size());
         out.flush();
         return 0;
     }
 
-    private static String owed(Held held) {
-        List<Claim> claims = held.claims;
+    private static String owed(PendingMessage held) {
+        List<AnswerRecipient> claims = held.recipients;
         String who = claims.isEmpty() ? "nobody" : claims.stream()
-                .map(c -> c.peer().isEmpty() ? c.outcome() : c.outcome() + " " + c.peer())
+                .map(c -> c.peer().isEmpty() ? c.channel() : c.channel() + " " + c.peer())
                 .collect(Collectors.joining(", "));
-        return held.owed.map(end -> "ended, " + end.end().name().toLowerCase(Locale.ROOT) + ": still to hear: "
+        return held.pendingNotice.map(end -> "ended, " + end.answer().name().toLowerCase(Locale.ROOT) + ": still to hear: "
                 + who).orElse("has no end yet; to hear of it: " + who);
     }
 
@@ -82,11 +82,11 @@
         }
         PrintWriter out = spec.commandLine().getOut();
         out.printf("%d bytes, %d records whole, %d with a wrong bit that is mended, %d bytes lost in the middle, %d "
-                + "bytes torn off at the end%n", journal.bytes(), journal.records(), journal.mended(),
-                journal.lost(), journal.torn());
-        out.println(journal.lost() > 0 ? "damaged: each message held may have run" : journal.torn() > 0
+                + "bytes torn off at the end%n", journal.bytes(), journal.records(), journal.correctedRecords(),
+                journal.unreadableBytes(), journal.tornBytes());
+        out.println(journal.unreadableBytes() > 0 ? "damaged: each message held may have run" : journal.tornBytes() > 0
                 ? "sound: a torn end is what a process leaves that is killed while it writes" : "sound");
         out.flush();
-        return journal.lost() > 0 ? 1 : 0;
+        return journal.unreadableBytes() > 0 ? 1 : 0;
     }
 }
--- a/src/main/java/slipfield/config/Config.java
+++ b/src/main/java/slipfield/config/Config.java
@@ -23,8 +23,8 @@
  */
 public record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, Path state, long seed,
               int sockets, long diskBytes, DeliveryPolicy.Settings settings, List<String> classes,
-              List<String> tenants, List<String> kinds, List<String> zones, int maxOpen, double dialMs,
-              Optional<JsonNode> known, Optional<Path> members, Optional<Path> clients,
+              List<String> tenants, List<String> kinds, List<String> zones, int maxOpen, double connectTimeoutMs,
+              Optional<JsonNode> knownEndpoints, Optional<Path> members, Optional<Path> clients,
               Optional<Path> amqp) {
     /** Names the operator's file of further sources of endpoints, if any. */
     private static final String MEMBERS = "SLIPFIELD_MEMBERS";
--- a/src/main/java/slipfield/config/Params.java
+++ b/src/main/java/slipfield/config/Params.java
@@ -12,10 +12,10 @@
  */
 public record Params(Map<String, String> values) {
     /** The name of the figure in reports that is the rate of a destination's limit. */
-    public static final String TOLD_RATE = "x1";
+    public static final String REPORTED_RATE = "x1";
 
     /** The name of the figure that is the share of it that is left. */
-    public static final String TOLD_LEFT = "x0";
+    public static final String REPORTED_REMAINING = "x0";
 
     private static final int MOST_SENDERS = 10_000;
 
--- a/src/main/java/slipfield/core/Desk.java
+++ b/src/main/java/slipfield/core/Desk.java
@@ -2,23 +2,23 @@
 
 import java.util.List;
 import java.util.Optional;
-import slipfield.journal.Claim;
-import slipfield.journal.Held;
+import slipfield.journal.AnswerRecipient;
+import slipfield.journal.PendingMessage;
 
 /** Where fronts hand messages in. Called on the core's thread. */
 public interface Desk {
     /** What a client asks to be delivered, and who has to hear of its end: one claimant at least. */
     record Submission(String id, String messageClass, String tenant, Optional<String> key, long destination,
-                      long budgetMs, byte[] body, List<Claim> claims) {
+                      long budgetMs, byte[] body, List<AnswerRecipient> claims) {
     }
 
     /**
      * What became of a submission: it is held, or refused, with the time to come back after in ms, or 0; {@code
      * destination}: that time holds for its destination alone.
      */
-    record Taking(Optional<Held> held, String reason, long waitMs, boolean destination) {
+    record Taking(Optional<PendingMessage> held, String reason, long waitMs, boolean destination) {
         /** It is held. */
-        public static Taking taken(Held held) {
+        public static Taking taken(PendingMessage held) {
             return new Taking(Optional.of(held), "", 0, false);
         }
 
@@ -57,7 +57,7 @@
      * How a message with this id was answered before, if one is held, or was until a moment ago. One that is
      * held is told to this claimant too from now on, unless it is one of its claimants already.
      */
-    Optional<Known> before(String id, Claim claim);
+    Optional<Known> before(String id, AnswerRecipient claim);
 
     /** A peer of this outcome has left for good: answers that were not to be kept for it are dropped. */
     void left(String outcome, String peer);
@@ -75,10 +75,10 @@
      * Whether a message is in the journal though {@link #written} said no: the write failed behind its record, and the file
      * could not be cut. The next life would go on with it, so it counts as taken on.
      */
-    default boolean recorded(Held held) {
+    default boolean recorded(PendingMessage held) {
         return false;
     }
 
     /** The client has heard that it was taken, or never will; what was not {@link #written} it never will. */
-    void answered(Held held, boolean heard);
+    void answered(PendingMessage held, boolean heard);
 }
--- a/src/main/java/slipfield/core/Durability.java
+++ b/src/main/java/slipfield/core/Durability.java
@@ -6,7 +6,7 @@
 import java.util.Deque;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
-import slipfield.journal.Held;
+import slipfield.journal.PendingMessage;
 import slipfield.journal.Journal;
 import slipfield.log.Log;
 
@@ -31,7 +31,7 @@
         void recording(boolean possible);
 
         /** This end may be told. */
-        void tell(Held ended);
+        void tell(PendingMessage ended);
 
         /** Milliseconds since 1970, by this life's reckoning. */
         long wallMs();
@@ -39,10 +39,10 @@
 
     private final EventLoop loop;
     private final Journal journal;
-    private final Predicate<Held> mayGoOn;
+    private final Predicate<PendingMessage> mayGoOn;
     private final Effects effects;
     /** Ended, and not told yet. */
-    private final Deque<Held> ended = new ArrayDeque<>();
+    private final Deque<PendingMessage> ended = new ArrayDeque<>();
     private boolean whole = true;
     private long brokenNanos;
     private long triedNanos;
@@ -50,19 +50,19 @@
     private long pauseMs = REPAIR_MS;
 
     /** {@code mayGoOn}: whether a next life that knows of no end would send the message again. */
-    Durability(EventLoop loop, Journal journal, Predicate<Held> mayGoOn, Effects effects) {
+    Durability(EventLoop loop, Journal journal, Predicate<PendingMessage> mayGoOn, Effects effects) {
         this.loop = loop;
         this.journal = journal;
         this.mayGoOn = mayGoOn;
         this.effects = effects;
-        journal.repairedByOwner();
+        journal.useExplicitRepair();
     }
 
     /** Writes what was collected; false: something of it, or from before, is not in the file. */
     boolean flush() {
         if (!whole && System.nanoTime() - triedNanos < TimeUnit.MILLISECONDS.toNanos(pauseMs)) {
             // Each try writes all that is held: not one in every turn.
-            journal.discard();
+            journal.discardBatch();
             return false;
         }
         long begunNanos = System.nanoTime();
@@ -70,7 +70,7 @@
         IOException cause = null;
         for (int i = 0; i < tries; i++) {
             try {
-                journal.flush();
+                journal.flushBatch();
                 journal.repair();
                 mended();
                 return true;
@@ -129,14 +129,14 @@
     }
 
     /** The message has ended: that is told by {@link #release}, as soon as it may be. */
-    void end(Held held) {
+    void end(PendingMessage held) {
         ended.add(held);
     }
 
     /** Tells the ends that may be told now. */
     void release() {
         for (int left = ended.size(); left > 0; left--) {
-            Held held = ended.remove();
+            PendingMessage held = ended.remove();
             if (!journal.isStale() || !mayGoOn.test(held) || isDue(held)) {
                 effects.tell(held);
             } else {
@@ -145,7 +145,7 @@
         }
     }
 
-    private boolean isDue(Held held) {
+    private boolean isDue(PendingMessage held) {
         boolean due = effects.wallMs() >= held.deadlineMs + held.reserveMs - TOLD_BEFORE_MS;
         if (due) {
             Log.error("message.end_told_unwritten", "message", held.id);
--- a/src/main/java/slipfield/core/Follow.java
+++ b/src/main/java/slipfield/core/Follow.java
@@ -1,7 +1,7 @@
 package slipfield.core;
 
 import java.util.function.Consumer;
-import slipfield.journal.Claim;
+import slipfield.journal.AnswerRecipient;
 
 /**
  * Where clients ask for the ends of their messages: an outcome whose answers a front passes on. All on the core's thread.
@@ -14,7 +14,7 @@
     }
 
     /** The claim of a message whose client follows its end under this name. */
-    Claim claim(String peer);
+    AnswerRecipient claim(String peer);
 
     /**
      * Asks for the ends that a peer has not heard yet.
--- a/src/main/java/slipfield/core/Lateness.java
+++ b/src/main/java/slipfield/core/Lateness.java
@@ -1,6 +1,6 @@
 package slipfield.core;
 
-import slipfield.journal.Held;
+import slipfield.journal.PendingMessage;
 import slipfield.log.Log;
 
 /** Tells the people on call how late this sender is, where that is more than any rule leaves: it gets too little of its core. */
@@ -23,7 +23,7 @@
      *
      * @param reserveMs how much of that was kept back for ends that come late
      */
-    static void ended(Held held, long lateMs, long reserveMs, boolean inService) {
+    static void ended(PendingMessage held, long lateMs, long reserveMs, boolean inService) {
         if (lateMs > reserveMs) {
             Log.warn("message.ended_late", "message", held.id, "late_ms", lateMs - reserveMs, "attempts",
                     held.attempts.size(), "in", inService ? "service" : "recovery");
--- a/src/main/java/slipfield/core/OutageLog.java
+++ b/src/main/java/slipfield/core/OutageLog.java
@@ -1,6 +1,6 @@
 package slipfield.core;
 
-import slipfield.journal.Held;
+import slipfield.journal.PendingMessage;
 import slipfield.log.Log;
 import slipfield.policy.DeliveryPolicy;
 
@@ -31,7 +31,7 @@
     }
 
     /** An attempt has ended after so many ms: why its message is tried again, unless it was delivered or called off. */
-    static void attemptEnded(Held held, int attempt, DeliveryPolicy.AttemptOutcome outcome, double tookMs) {
+    static void attemptEnded(PendingMessage held, int attempt, DeliveryPolicy.AttemptOutcome outcome, double tookMs) {
         if (outcome != DeliveryPolicy.AttemptOutcome.DELIVERED && outcome != DeliveryPolicy.AttemptOutcome.CANCELLED) {
             Log.warn("attempt.failed", "message", held.id, "attempt", attempt, "destination", held.destination, "endpoint",
                     held.attempts.get(attempt).endpoint, "outcome", outcome, "took_ms", Math.round(tookMs));
@@ -39,8 +39,8 @@
     }
 
     /** A message is given back or given up; it was tried so many times. */
-    static void ended(Held held, Held.Notice notice) {
-        Log.warn("message.undelivered", "message", held.id, "destination", held.destination, "end", notice.end(), "attempts",
+    static void ended(PendingMessage held, PendingMessage.Notice notice) {
+        Log.warn("message.undelivered", "message", held.id, "destination", held.destination, "end", notice.answer(), "attempts",
                 held.attempts.size());
     }
 }
--- a/src/main/java/slipfield/core/Outcome.java
+++ b/src/main/java/slipfield/core/Outcome.java
@@ -1,15 +1,15 @@
 package slipfield.core;
 
-import slipfield.journal.Owed;
+import slipfield.journal.PendingAnswer;
 
 /**
  * Where final answers go: each is told until it was heard. Hearing one twice does no harm; one that is not heard
  * is a lost message. Which answers go where, and whether delivered messages are told of at all, is in the
- * message's {@link slipfield.journal.Claim}s.
+ * message's {@link slipfield.journal.AnswerRecipient}s.
  */
 public interface Outcome {
     /** Owes this answer, from the next {@link #flush} on; the core is told once it was heard. */
-    void owe(Owed answer);
+    void owe(PendingAnswer answer);
 
     /** Sends what is owed, as far as it can be sent now: called at the end of each turn. */
     void flush();
--- a/src/main/java/slipfield/core/Parts.java
+++ b/src/main/java/slipfield/core/Parts.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import slipfield.journal.Owed;
+import slipfield.journal.PendingAnswer;
 import slipfield.trace.Trace;
 
 /** What hangs on a core, made for its event loop. The core knows these by their ports only. */
@@ -19,7 +19,7 @@
     Transport transport(EventLoop loop, Transport.Ends ends);
 
     /** Where final answers go, by the name in a message's claim; {@code heard} is told of each. */
-    Map<String, Outcome> outcomes(EventLoop loop, Consumer<Owed> heard);
+    Map<String, Outcome> outcomes(EventLoop loop, Consumer<PendingAnswer> heard);
 
     /** Where endpoints come from; the first one's ids stand as they are, those of others behind its name. */
     Map<String, Directory> directories(EventLoop loop);
--- a/src/main/java/slipfield/core/Recovery.java
+++ b/src/main/java/slipfield/core/Recovery.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 import java.util.function.Predicate;
-import slipfield.journal.Held;
+import slipfield.journal.PendingMessage;
 import slipfield.log.Log;
 import slipfield.log.LoggedTask;
 import slipfield.recovery.Plan;
@@ -27,10 +27,10 @@
     /** What the sender does with each message, and when a stage is over. */
     interface Steps {
         /** Its end was decided in an earlier life: the platform has to hear it. */
-        void tell(Held held);
+        void tell(PendingMessage held);
 
         /** Back to the module; {@code leftMs} is 0 or less where its time is up. */
-        void resume(Held held, long leftMs);
+        void resume(PendingMessage held, long leftMs);
 
         /** Every end that was due at the start is out. */
         void endsOut();
@@ -41,10 +41,10 @@
 
     private final EventLoop loop;
     private final LongSupplier wallMs;
-    private final Predicate<Held> inOrder;
+    private final Predicate<PendingMessage> inOrder;
     private final Steps steps;
-    private final Map<Long, Held> left = new HashMap<>();
-    private final List<Held> taken;
+    private final Map<Long, PendingMessage> left = new HashMap<>();
+    private final List<PendingMessage> taken;
     private Plan plan;
     /** A list is known that may be acted on; any will do where nothing waits to be sent. */
     private boolean listed;
@@ -53,13 +53,13 @@
     private int resumed;
     private int turns;
 
-    Recovery(EventLoop loop, LongSupplier wallMs, List<Held> held, Predicate<Held> inOrder, Steps steps) {
+    Recovery(EventLoop loop, LongSupplier wallMs, List<PendingMessage> held, Predicate<PendingMessage> inOrder, Steps steps) {
         this.loop = loop;
         this.wallMs = wallMs;
         this.inOrder = inOrder;
         this.steps = steps;
         this.taken = held;
-        for (Held h : held) {
+        for (PendingMessage h : held) {
             left.put(h.number, h);
         }
     }
@@ -96,15 +96,15 @@
     private void plan() {
         long now = wallMs.getAsLong();
         List<Plan.Item> items = new ArrayList<>();
-        for (Held held : taken) {
+        for (PendingMessage held : taken) {
             if (left.containsKey(held.number)) {
-                items.add(new Plan.Item(held.number, leftMs(held, now), held.over, inOrder.test(held)));
+                items.add(new Plan.Item(held.number, leftMs(held, now), held.finished, inOrder.test(held)));
             }
         }
         plan = new Plan(items);
     }
 
-    private static long leftMs(Held held, long now) {
+    private static long leftMs(PendingMessage held, long now) {
         return Plan.leftMs(held.deadlineMs - now, held.reserveMs, held.attempts.stream().allMatch(a -> a.neverRan));
     }
 
@@ -143,7 +143,7 @@
         turns++;
         long now = wallMs.getAsLong();
         for (long number : slice.numbers()) {
-            Held held = left.remove(number);
+            PendingMessage held = left.remove(number);
             try {
                 takeUp(held, slice.step(), now);
             } catch (RuntimeException e) {
@@ -154,7 +154,7 @@
         again(0);
     }
 
-    private void takeUp(Held held, Plan.Step step, long now) {
+    private void takeUp(PendingMessage held, Plan.Step step, long now) {
         if (step == Plan.Step.TELL) {
             steps.tell(held);
         } else {
--- a/src/main/java/slipfield/core/Sender.java
+++ b/src/main/java/slipfield/core/Sender.java
@@ -19,11 +19,11 @@
 import java.util.concurrent.TimeUnit;
 import slipfield.admission.Admission;
 import slipfield.config.Config;
-import slipfield.journal.Claim;
-import slipfield.journal.Held;
+import slipfield.journal.AnswerRecipient;
+import slipfield.journal.PendingMessage;
 import slipfield.journal.Journal;
-import slipfield.journal.LifeClock;
-import slipfield.journal.Owed;
+import slipfield.journal.ProcessClock;
+import slipfield.journal.PendingAnswer;
 import slipfield.log.Log;
 import slipfield.log.LoggedTask;
 import slipfield.policy.DeliveryPolicy;
@@ -73,7 +73,7 @@
     private final EventLoop loop = group.next();
     private final CountDownLatch stopped = new CountDownLatch(1);
     private final long startNanos = System.nanoTime();
-    private final LifeClock life;
+    private final ProcessClock life;
     private final CountDownLatch endsOut = new CountDownLatch(1);
     private final Map<String, Long> endpointNumbers = new HashMap<>();
     private final Map<Long, String> endpointIds = new HashMap<>();
@@ -81,8 +81,8 @@
     /** Endpoints that have left the list, and when. */
     private final Map<String, Long> goneSince = new HashMap<>();
     /** What is held and not over, by the module's number, and by the client's id. */
-    private final Map<Long, Held> open = new HashMap<>();
-    private final Map<String, Held> byId = new HashMap<>();
+    private final Map<Long, PendingMessage> open = new HashMap<>();
+    private final Map<String, PendingMessage> byId = new HashMap<>();
     private EndedIds ended;
     /** Destinations that a list has named. */
     private final Set<Long> destinations = new HashSet<>();
@@ -115,7 +115,7 @@
     }
 
     /** A call; {@code atMs}: the turn that it was decided in, by the module's time. */
-    private record Decided(Held held, int attempt, long endpoint, DeliveryPolicy.AttemptTiming within, double atMs) {
+    private record Decided(PendingMessage held, int attempt, long endpoint, DeliveryPolicy.AttemptTiming within, double atMs) {
     }
 
     /**
@@ -124,7 +124,7 @@
      * @param takingMs from being told to end: new connections come for so long at most
      * @param closingMs from being told to end: attempts out may last till here
      */
-    public Sender(Config config, Parts parts, long takingMs, long closingMs, LifeClock life) {
+    public Sender(Config config, Parts parts, long takingMs, long closingMs, ProcessClock life) {
         this.config = config;
         this.parts = parts;
         this.life = life;
@@ -140,7 +140,7 @@
      */
     public List<InetSocketAddress> start() throws IOException {
         Journal taken = Retry.within(Retry.START_MS, "journal", () -> new Journal(config.state(), config.diskBytes(),
-                config.settings().maxAttempts(), life.mark(), FileChannel::open));
+                config.settings().maxAttempts(), life.reference(), FileChannel::open));
         loop.submit(() -> open(taken)).syncUninterruptibly();
         try {
             endsOut.await();
@@ -168,7 +168,7 @@
         directories = parts.directories(loop);
         catalogue = new Catalogue(List.copyOf(directories.keySet()));
         if (TRACED) {
-            journal.traced(trace);
+            journal.setTrace(trace);
             parts.traced(trace);
         }
         recover();
@@ -179,22 +179,22 @@
     private void recover() {
         long wall = life.wallMs();
         double now = openTurn();
-        journal.over().forEach(ended::add);
-        for (Map.Entry<String, Journal.Health> known : journal.health().entrySet()) {
+        journal.completedIds().forEach(ended::add);
+        for (Map.Entry<String, Journal.Health> known : journal.endpointHealth().entrySet()) {
             Journal.Health health = known.getValue();
             double since = now - Math.max(0, wall - health.sinceMs());
             policy.healthRestored(now, endpointNumber(known.getKey()),
                     new DeliveryPolicy.Health(health.state(), since, health.carriedPerMs()));
         }
-        for (Map.Entry<Journal.PaceOf, DeliveryPolicy.SendRate> known : journal.paces().entrySet()) {
-            String route = known.getKey().route();
+        for (Map.Entry<Journal.SendRateKey, DeliveryPolicy.SendRate> known : journal.sendRates().entrySet()) {
+            String route = known.getKey().endpoint();
             policy.sendRateRestored(now, known.getKey().destination(),
                     route.isEmpty() ? DeliveryPolicy.ALL_ROUTES : endpointNumber(route), known.getValue());
         }
-        List<Held> held = journal.held();
-        for (Held h : held) {
-            h.told = true;
-            if (!h.over) {
+        List<PendingMessage> held = journal.pendingMessages();
+        for (PendingMessage h : held) {
+            h.acceptanceReported = true;
+            if (!h.finished) {
                 open.put(h.number, h);
                 byId.put(h.id, h);
                 admission.held(now, h.destination);
@@ -210,23 +210,23 @@
     /** The steps of a recovery. */
     private final class Recovered implements Recovery.Steps {
         @Override
-        public void tell(Held held) {
+        public void tell(PendingMessage held) {
             openTurn();
             owe(held);
         }
 
         @Override
-        public void resume(Held held, long leftMs) {
+        public void resume(PendingMessage held, long leftMs) {
             int messageClass = config.classes().indexOf(held.messageClass);
             double now = openTurn();
             if (messageClass < 0) {
                 Log.warn("message.class_gone", "message", held.id, "class", held.messageClass);
-                end(held, new Held.Notice(Held.End.FAILED, 0));
+                end(held, new PendingMessage.Notice(PendingMessage.FinalAnswer.FAILED, 0));
                 return;
             }
             long wall = life.wallMs();
             List<DeliveryPolicy.PreviousAttempt> earlier = new ArrayList<>();
-            for (Held.Attempt a : held.attempts) {
+            for (PendingMessage.Attempt a : held.attempts) {
                 // A wall clock that was set back must not move a send into the future.
                 double sentAt = now - Math.max(0, wall - a.sentAtMs);
                 earlier.add(new DeliveryPolicy.PreviousAttempt(endpointNumber(a.endpoint), sentAt, !a.neverRan));
@@ -248,7 +248,7 @@
         }
     }
 
-    private DeliveryPolicy.Message message(Held held, int messageClass, double leftMs) {
+    private DeliveryPolicy.Message message(PendingMessage held, int messageClass, double leftMs) {
         double left = Math.min(leftMs, config.settings().classes().get(messageClass).deadlineMs());
         return new DeliveryPolicy.Message(held.number, messageClass, Math.max(0, config.tenants().indexOf(held.tenant)),
                 held.key, left, held.destination);
@@ -260,7 +260,7 @@
     private double openTurn() {
         if (!turnOpen) {
             turnOpen = true;
-            journal.begin();
+            journal.beginBatch();
             clock = now();
             loop.execute(this::endTurn);
         }
@@ -304,7 +304,7 @@
     private boolean flushed() {
         boolean written = durability.flush();
         if (turnOpen) {
-            journal.begin();
+            journal.beginBatch();
         }
         return written;
     }
@@ -317,7 +317,7 @@
         }
 
         @Override
-        public void tell(Held ended) {
+        public void tell(PendingMessage ended) {
             owe(ended);
         }
 
@@ -328,7 +328,7 @@
     }
 
     /** Whether a next life that finds the message open may send it. */
-    private boolean mayGoOn(Held held) {
+    private boolean mayGoOn(PendingMessage held) {
         int messageClass = config.classes().indexOf(held.messageClass);
         boolean unsafe = messageClass < 0
                 || config.settings().classes().get(messageClass).repeatSafety() == DeliveryPolicy.RepeatSafety.UNSAFE;
@@ -349,13 +349,13 @@
     }
 
     /** Unrecorded an attempt could run twice: it is not made. */
-    private void notMade(Held held, int attempt) {
+    private void notMade(PendingMessage held, int attempt) {
         Log.warn("attempt.unrecorded", "message", held.id, "attempt", attempt);
         notBegun(held, attempt);
     }
 
     /** Not one byte of the attempt has left: it has surely not run. */
-    private void notBegun(Held held, int attempt) {
+    private void notBegun(PendingMessage held, int attempt) {
         held.attempts.get(attempt).neverRan = true;
         loop.execute(() -> attemptEnded(held, attempt, DeliveryPolicy.AttemptOutcome.NOT_SENT, false, 0,
                 DeliveryPolicy.LimitReport.NOTHING, 0));
@@ -413,11 +413,11 @@
 
     @Override
     public void send(long message, long endpoint, DeliveryPolicy.AttemptTiming within) {
-        Held held = open.get(message);
+        PendingMessage held = open.get(message);
         int number = held.attempts.size();
-        Held.Attempt attempt = new Held.Attempt(endpointIds.get(endpoint), life.wallMs());
+        PendingMessage.Attempt attempt = new PendingMessage.Attempt(endpointIds.get(endpoint), life.wallMs());
         try {
-            journal.attempt(held, attempt);
+            journal.recordAttempt(held, attempt);
         } catch (IOException e) {
             unwritten("journal.attempt_unwritten", held.id, e);
             held.attempts.add(attempt);
@@ -449,12 +449,12 @@
 
     @Override
     public void refuse(long message, double waitMs) {
-        end(open.get(message), new Held.Notice(Held.End.REFUSED, waitMs));
+        end(open.get(message), new PendingMessage.Notice(PendingMessage.FinalAnswer.REFUSED, waitMs));
     }
 
     @Override
     public void fail(long message) {
-        end(open.get(message), new Held.Notice(Held.End.FAILED, 0));
+        end(open.get(message), new PendingMessage.Notice(PendingMessage.FinalAnswer.FAILED, 0));
     }
 
     @Override
@@ -483,7 +483,7 @@
 
     @Override
     public void suspicionChanged(DeliveryPolicy.Suspicion suspicion) {
-        Held held = open.get(suspicion.message());
+        PendingMessage held = open.get(suspicion.message());
         OutageLog.suspicionChanged(suspicion, endpointIds.getOrDefault(suspicion.endpoint(), ""), held == null ? "" : held.id, clock);
     }
 
@@ -497,7 +497,7 @@
     @Override
     public void saveSendRate(long destination, long route, DeliveryPolicy.SendRate pace) {
         try {
-            journal.pace(new Journal.PaceOf(destination, route == DeliveryPolicy.ALL_ROUTES ? "" : endpointIds.get(route)),
+            journal.recordSendRate(new Journal.SendRateKey(destination, route == DeliveryPolicy.ALL_ROUTES ? "" : endpointIds.get(route)),
                     pace);
         } catch (IOException e) {
             unwritten("journal.pace_unwritten", "", e);
@@ -506,13 +506,13 @@
 
     private void remember(String endpoint, Journal.Health health) {
         try {
-            journal.health(endpoint, health);
+            journal.recordHealth(endpoint, health);
         } catch (IOException e) {
             unwritten("journal.health_unwritten", "", e);
         }
     }
 
-    private void end(Held held, Held.Notice notice) {
+    private void end(PendingMessage held, PendingMessage.Notice notice) {
         over(held, false);
         OutageLog.ended(held, notice);
         Lateness.ended(held, life.wallMs() - held.deadlineMs, UNREAD_MS, ready);
@@ -521,7 +521,7 @@
         }
         ended.add(held.id, false);
         try {
-            journal.owed(held, notice);
+            journal.recordAnswer(held, notice);
         } catch (IOException e) {
             unwritten("journal.notice_unwritten", held.id, e);
         }
@@ -529,38 +529,38 @@
     }
 
     /** Each claimant is told by its own outcome. */
-    private void owe(Held held) {
-        if (held.claims.isEmpty()) {
+    private void owe(PendingMessage held) {
+        if (held.recipients.isEmpty()) {
             forget(held);
         }
         // A copy: one that is heard at once is taken off.
-        for (Claim claim : List.copyOf(held.claims)) {
-            Outcome outcome = outcomes.get(claim.outcome());
+        for (AnswerRecipient claim : List.copyOf(held.recipients)) {
+            Outcome outcome = outcomes.get(claim.channel());
             if (outcome == null) {
-                Log.warn("outcome.not_set_up", "outcome", claim.outcome(), "message", held.id);
+                Log.warn("outcome.not_set_up", "outcome", claim.channel(), "message", held.id);
             } else {
-                outcome.owe(new Owed(held, claim));
+                outcome.owe(new PendingAnswer(held, claim));
             }
         }
     }
 
     /** It has an end that nobody has to hear of. */
-    private void forget(Held held) {
+    private void forget(PendingMessage held) {
         try {
-            journal.ended(held);
+            journal.recordCompleted(held);
         } catch (IOException e) {
             unwritten("journal.end_unwritten", held.id, e);
         }
     }
 
-    private void traceEnd(Held held) {
+    private void traceEnd(PendingMessage held) {
         long wall = life.wallMs();
-        held.endedMs = wall;
+        held.answeredMs = wall;
         if (wall - held.deadlineMs > LATE_END_MS) {
             int attempts = held.attempts.size();
             long first = attempts == 0 ? wall : held.attempts.get(0).sentAtMs;
             long last = attempts == 0 ? wall : held.attempts.get(attempts - 1).sentAtMs;
-            trace.lateEnd(held.id, wall - held.takenMs, wall - held.deadlineMs, attempts, Math.max(0, first - held.takenMs),
+            trace.lateEnd(held.id, wall - held.acceptedMs, wall - held.deadlineMs, attempts, Math.max(0, first - held.acceptedMs),
                     wall - last, ready ? "in service" : "in recovery");
         }
     }
@@ -583,7 +583,7 @@
         }
     }
 
-    private void attemptEnded(Held held, int attempt, DeliveryPolicy.AttemptOutcome outcome, boolean gone, double waitMs,
+    private void attemptEnded(PendingMessage held, int attempt, DeliveryPolicy.AttemptOutcome outcome, boolean gone, double waitMs,
             DeliveryPolicy.LimitReport told, double took) {
         double now = openTurn();
         if (FLOWS) {
@@ -591,53 +591,53 @@
                     (long) took, told.perSecond(), told.remainingShare());
         }
         try {
-            if (!held.over && (gone || outcome == DeliveryPolicy.AttemptOutcome.DELIVERED)) {
+            if (!held.finished && (gone || outcome == DeliveryPolicy.AttemptOutcome.DELIVERED)) {
                 delivered(held);
-            } else if (!held.over && !outcome.mayHaveRun()) {
-                journal.neverRan(held, attempt);
+            } else if (!held.finished && !outcome.mayHaveRun()) {
+                journal.recordNeverRan(held, attempt);
             }
         } catch (IOException e) {
             unwritten("journal.end_unwritten", held.id, e);
         }
-        boolean finished = held.over;
+        boolean finished = held.finished;
         OutageLog.attemptEnded(held, attempt, outcome, took);
         event(() -> policy.attemptEnded(now, new DeliveryPolicy.AttemptEnd(held.number, attempt, outcome, took,
                 finished, waitMs, told)));
     }
 
     /** Only what asked for it is told of a delivery. */
-    private void delivered(Held held) throws IOException {
+    private void delivered(PendingMessage held) throws IOException {
         over(held, true);
         ended.add(held.id, true);
-        held.claims.removeIf(claim -> !claim.delivered());
-        if (held.claims.isEmpty()) {
-            journal.ended(held);
+        held.recipients.removeIf(claim -> !claim.includesDeliveries());
+        if (held.recipients.isEmpty()) {
+            journal.recordCompleted(held);
             return;
         }
         try {
-            journal.owed(held, new Held.Notice(Held.End.DELIVERED, 0));
+            journal.recordAnswer(held, new PendingMessage.Notice(PendingMessage.FinalAnswer.DELIVERED, 0));
         } finally {
             owe(held);
         }
     }
 
-    private void over(Held held, boolean delivered) {
+    private void over(PendingMessage held, boolean delivered) {
         if (FLOWS) {
-            Flow.step("over", held.id, delivered, held.destination, life.wallMs() - held.takenMs);
+            Flow.step("over", held.id, delivered, held.destination, life.wallMs() - held.acceptedMs);
         }
-        held.over = true;
+        held.finished = true;
         open.remove(held.number);
         byId.remove(held.id);
         admission.ended(now(), held.destination, delivered);
     }
 
-    private void heard(Owed answer) {
-        Held held = answer.held();
-        if (TRACED && held.endedMs > 0 && life.wallMs() - held.deadlineMs > LATE_END_MS) {
-            trace.lateNotice(held.id, life.wallMs() - held.endedMs, life.wallMs() - held.deadlineMs);
+    private void heard(PendingAnswer answer) {
+        PendingMessage held = answer.message();
+        if (TRACED && held.answeredMs > 0 && life.wallMs() - held.deadlineMs > LATE_END_MS) {
+            trace.lateNotice(held.id, life.wallMs() - held.answeredMs, life.wallMs() - held.deadlineMs);
         }
         try {
-            journal.heard(held, answer.claim());
+            journal.recordAcknowledged(held, answer.recipient());
         } catch (IOException e) {
             unwritten("journal.told_unwritten", held.id, e);
         }
@@ -733,8 +733,8 @@
 
         /** What was ended by a notice is not taken on again under its id, nor is it owed anything more. */
         @Override
-        public Optional<Known> before(String id, Claim claim) {
-            Held held = byId.get(id);
+        public Optional<Known> before(String id, AnswerRecipient claim) {
+            PendingMessage held = byId.get(id);
             if (held != null) {
                 claim(held, claim);
                 return Optional.of(Known.HELD);
@@ -743,26 +743,26 @@
                     delivered ? Known.DELIVERED : Known.ENDED);
         }
 
-        private void claim(Held held, Claim claim) {
+        private void claim(PendingMessage held, AnswerRecipient claim) {
             // Somebody is about to hear that it is held: it must not be withdrawn for another who never does.
             answered(held, true);
-            if (!held.claims.contains(claim)) {
+            if (!held.recipients.contains(claim)) {
                 try {
-                    journal.claimed(held, claim);
+                    journal.recordRecipient(held, claim);
                 } catch (IOException e) {
                     // It is told in this life; a later one has forgotten who else had asked.
                     Log.error("journal.claim_unwritten", "message", held.id, "cause", e);
-                    held.claims.add(claim);
+                    held.recipients.add(claim);
                 }
             }
         }
 
         @Override
         public void left(String outcome, String peer) {
-            for (Held held : List.copyOf(open.values())) {
-                for (Claim claim : List.copyOf(held.claims)) {
-                    if (claim.outcome().equals(outcome) && claim.peer().equals(peer) && !claim.keep()) {
-                        heard(new Owed(held, claim));
+            for (PendingMessage held : List.copyOf(open.values())) {
+                for (AnswerRecipient claim : List.copyOf(held.recipients)) {
+                    if (claim.channel().equals(outcome) && claim.peer().equals(peer) && !claim.keepsAnswers()) {
+                        heard(new PendingAnswer(held, claim));
                     }
                 }
             }
@@ -786,14 +786,14 @@
             if (!verdict.taken()) {
                 return new Taking(Optional.empty(), verdict.reason(), verdict.waitMs(), verdict.destination());
             }
-            Held held = new Held(journal.nextNumber(), s.id(), s.messageClass(), s.tenant(), s.key(),
+            PendingMessage held = new PendingMessage(journal.nextNumber(), s.id(), s.messageClass(), s.tenant(), s.key(),
                     s.destination(), life.wallMs() + leftMs, s.body(), s.claims().get(0));
             held.reserveMs = (int) reserveMs;
-            held.claims.addAll(s.claims().subList(1, s.claims().size()));
+            held.recipients.addAll(s.claims().subList(1, s.claims().size()));
             // Its end writes what is collected, whatever becomes of this message.
             openTurn();
             try {
-                journal.taken(held);
+                journal.recordAccepted(held);
             } catch (IOException e) {
                 return Taking.refused("no room", 0);
             }
@@ -809,21 +809,21 @@
         }
 
         @Override
-        public boolean recorded(Held held) {
+        public boolean recorded(PendingMessage held) {
             return journal.isRecorded(held);
         }
 
         @Override
-        public void answered(Held held, boolean heard) {
-            if (held.told || held.over) {
+        public void answered(PendingMessage held, boolean heard) {
+            if (held.acceptanceReported || held.finished) {
                 return;
             }
-            held.told = heard;
+            held.acceptanceReported = heard;
             if (!heard) {
                 // A client that never heard of its being taken is owed nothing, and will come again.
                 over(held, false);
                 try {
-                    journal.withdrawn(held);
+                    journal.recordWithdrawn(held);
                 } catch (IOException e) {
                     unwritten("journal.withdrawal_unwritten", held.id, e);
                 }
--- a/src/main/java/slipfield/core/Transport.java
+++ b/src/main/java/slipfield/core/Transport.java
@@ -1,7 +1,7 @@
 package slipfield.core;
 
 import java.net.SocketAddress;
-import slipfield.journal.Held;
+import slipfield.journal.PendingMessage;
 import slipfield.policy.DeliveryPolicy;
 
 /**
@@ -12,7 +12,7 @@
     /** An attempt on its way. */
     interface Attempt {
         /** The message that it carries. */
-        Held held();
+        PendingMessage held();
 
         /** Which of the message's attempts it is, from 0. */
         int number();
@@ -66,7 +66,7 @@
      * @param within its times, counted from {@code decidedNanos}; one that can't be written in time ends as
      *     {@link DeliveryPolicy.AttemptOutcome#NOT_SENT}
      */
-    Attempt attempt(Held held, int number, long endpoint, DeliveryPolicy.AttemptTiming within, long decidedNanos);
+    Attempt attempt(PendingMessage held, int number, long endpoint, DeliveryPolicy.AttemptTiming within, long decidedNanos);
 
     /** Closes idle connections to an endpoint; the next attempt there opens a new one. */
     void closeIdle(long endpoint);
--- a/src/main/java/slipfield/daemon/AmqpParts.java
+++ b/src/main/java/slipfield/daemon/AmqpParts.java
@@ -19,8 +19,8 @@
 import slipfield.core.Outcome;
 import slipfield.core.Transport;
 import slipfield.front.amqp.Publications;
-import slipfield.journal.Owed;
-import slipfield.state.KeptJson;
+import slipfield.journal.PendingAnswer;
+import slipfield.state.BackgroundJsonFile;
 import slipfield.work.Worker;
 import slipfield.transport.amqp.Queues;
 
@@ -38,13 +38,13 @@
     private AmqpServer server;
     private Queues queues;
     private Publications publications;
-    private final KeptJson view;
+    private final BackgroundJsonFile view;
     private EventLoop loop;
     private String epoch;
 
     private AmqpParts(AmqpConfig config, Path state) {
         this.config = config;
-        this.view = new KeptJson(state.resolve(VIEW), "amqp.view_unwritable");
+        this.view = new BackgroundJsonFile(state.resolve(VIEW), "amqp.view_unwritable");
     }
 
     static AmqpParts read(Path file, Config sender) throws IOException, BadInput {
@@ -61,7 +61,7 @@
     }
 
     Transport beside(Transport network, EventLoop loop, Worker worker, Transport.Ends ends) {
-        view.by(worker);
+        view.setWorker(worker);
         epoch = Long.toHexString(System.currentTimeMillis());
         server = new AmqpServer(loop, config, epoch);
         this.loop = loop;
@@ -69,7 +69,7 @@
         return new Ways(network, queues);
     }
 
-    Outcome outcome(Consumer<Owed> heard) {
+    Outcome outcome(Consumer<PendingAnswer> heard) {
         publications = new Publications(server, config.routes(), heard);
         server.over(publications, queues);
         return publications;
--- a/src/main/java/slipfield/daemon/Background.java
+++ b/src/main/java/slipfield/daemon/Background.java
@@ -4,7 +4,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import slipfield.state.KeptJson;
+import slipfield.state.BackgroundJsonFile;
 import slipfield.work.Worker;
 import slipfield.work.decide.Scheduler;
 
@@ -17,7 +17,7 @@
 
     private final Worker worker;
     private final EventLoop loop;
-    private final KeptJson view;
+    private final BackgroundJsonFile view;
     private volatile boolean ended;
 
     /** What the file holds. */
@@ -28,9 +28,9 @@
     Background(EventLoop loop, Path state) {
         this.loop = loop;
         this.worker = new Worker(loop, LIMITS);
-        worker.kind(KeptJson.KIND);
-        this.view = new KeptJson(state.resolve(VIEW), "work.view_unwritable");
-        view.by(worker);
+        worker.registerKind(BackgroundJsonFile.KIND);
+        this.view = new BackgroundJsonFile(state.resolve(VIEW), "work.view_unwritable");
+        view.setWorker(worker);
         loop.schedule(this::writeView, VIEW_MS, TimeUnit.MILLISECONDS);
     }
 
--- a/src/main/java/slipfield/daemon/Daemon.java
+++ b/src/main/java/slipfield/daemon/Daemon.java
@@ -26,9 +26,9 @@
 import slipfield.directory.merged.Members;
 import slipfield.fleet.Asking;
 import slipfield.front.http.Intake;
-import slipfield.journal.Claim;
-import slipfield.journal.LifeClock;
-import slipfield.journal.Owed;
+import slipfield.journal.AnswerRecipient;
+import slipfield.journal.ProcessClock;
+import slipfield.journal.PendingAnswer;
 import slipfield.log.Log;
 import slipfield.outcome.Notices;
 import slipfield.outcome.ends.ClientsConfig;
@@ -71,10 +71,10 @@
 
     /** As the program runs it. */
     public Daemon(Config config) {
-        this(config, TAKING_MS, CLOSING_MS, LifeClock.system());
+        this(config, TAKING_MS, CLOSING_MS, ProcessClock.system());
     }
 
-    Daemon(Config config, long takingMs, long closingMs, LifeClock life) {
+    Daemon(Config config, long takingMs, long closingMs, ProcessClock life) {
         this.config = config;
         this.agentAddress = config.discovery();
         int sockets = Math.max(config.sockets() - OTHER_SOCKETS, 64);
@@ -208,15 +208,15 @@
 
     @Override
     public Transport transport(EventLoop loop, Transport.Ends ends) {
-        endpoints = new Endpoints(loop, config.dialMs(), config.settings().keepAliveMs(), mostIdle, ends);
+        endpoints = new Endpoints(loop, config.connectTimeoutMs(), config.settings().keepAliveMs(), mostIdle, ends);
         return amqp == null ? endpoints : amqp.beside(endpoints, loop, background(loop).worker(), ends);
     }
 
     @Override
-    public Map<String, Outcome> outcomes(EventLoop loop, Consumer<Owed> heard) {
+    public Map<String, Outcome> outcomes(EventLoop loop, Consumer<PendingAnswer> heard) {
         notices = new Notices(loop, () -> new Agent(loop, agentAddress), heard);
         Map<String, Outcome> outcomes = new LinkedHashMap<>();
-        outcomes.put(Claim.PLATFORM.outcome(), notices);
+        outcomes.put(AnswerRecipient.PLATFORM.channel(), notices);
         if (clients != null && clients.ends().isPresent()) {
             ends = new Ends(loop, clients.ends().get(), Long.toHexString(System.currentTimeMillis()), heard);
             outcomes.put(Ends.NAME, ends);
@@ -229,7 +229,7 @@
 
     @Override
     public Map<String, Directory> directories(EventLoop loop) {
-        discovery = new Discovery(loop, new Agent(loop, agentAddress), config.known(),
+        discovery = new Discovery(loop, new Agent(loop, agentAddress), config.knownEndpoints(),
                 new Asking(config.settings().senders(), new SplittableRandom(config.seed())));
         Map<String, Directory> directories = new LinkedHashMap<>();
         if (members == null) {
--- a/src/main/java/slipfield/daemon/Rehearsal.java
+++ b/src/main/java/slipfield/daemon/Rehearsal.java
@@ -8,8 +8,8 @@
 import slipfield.config.Config;
 import slipfield.core.Desk;
 import slipfield.front.http.Intake;
-import slipfield.journal.Claim;
-import slipfield.journal.Held;
+import slipfield.journal.AnswerRecipient;
+import slipfield.journal.PendingMessage;
 import slipfield.policy.DeliveryPolicy;
 import slipfield.transport.http.Endpoints;
 
@@ -34,7 +34,7 @@
     private final DeliveryPolicy.Settings settings;
     private final Intake intake;
     private final Endpoints endpoints;
-    private final Held held;
+    private final PendingMessage held;
     private final Stage stage = new Stage();
     private final DeliveryPolicy policy;
     private final byte[] request;
@@ -48,7 +48,7 @@
         this.settings = config.settings();
         this.intake = new Intake(loop, config.listen(), Integer.MAX_VALUE, stage);
         this.endpoints = new Endpoints(loop, 1000, 1000, 0, (call, outcome, gone, waitMs, told) -> { });
-        this.held = new Held(0, "0123456789abcdef", "rehearsal", "", Optional.of("0123456789abcdef"), 1, 0,
+        this.held = new PendingMessage(0, "0123456789abcdef", "rehearsal", "", Optional.of("0123456789abcdef"), 1, 0,
                 new byte[2]);
         this.policy = DeliveryPolicy.create(settings, 0, stage);
         String path = config.classes().get(0);
@@ -119,7 +119,7 @@
         }
 
         @Override
-        public Optional<Known> before(String id, Claim claim) {
+        public Optional<Known> before(String id, AnswerRecipient claim) {
             return Optional.empty();
         }
 
@@ -138,7 +138,7 @@
         }
 
         @Override
-        public void answered(Held held, boolean heard) {
+        public void answered(PendingMessage held, boolean heard) {
         }
 
         @Override
--- a/src/main/java/slipfield/daemon/Ways.java
+++ b/src/main/java/slipfield/daemon/Ways.java
@@ -4,7 +4,7 @@
 import java.util.HashSet;
 import java.util.Set;
 import slipfield.core.Transport;
-import slipfield.journal.Held;
+import slipfield.journal.PendingMessage;
 import slipfield.policy.DeliveryPolicy;
 import slipfield.transport.amqp.ConsumerAddress;
 
@@ -49,7 +49,7 @@
     }
 
     @Override
-    public Attempt attempt(Held held, int number, long endpoint, DeliveryPolicy.AttemptTiming within, long decidedNanos) {
+    public Attempt attempt(PendingMessage held, int number, long endpoint, DeliveryPolicy.AttemptTiming within, long decidedNanos) {
         return of(endpoint).attempt(held, number, endpoint, within, decidedNanos);
     }
 
--- a/src/main/java/slipfield/directory/consul/ConsulSettings.java
+++ b/src/main/java/slipfield/directory/consul/ConsulSettings.java
@@ -41,23 +41,23 @@
 
     /** Reads the part {@code consul}; an error names its place and the mend. */
     public static ConsulSettings read(Section part) throws BadInput {
-        part.only("agents", "services", "tag", "datacenter", "namespace", "filter", "mode", "token_file", "wait",
+        part.allowOnly("agents", "services", "tag", "datacenter", "namespace", "filter", "mode", "token_file", "wait",
                 "most_stale", "tls", "register");
         List<InetSocketAddress> agents = part.addresses("agents");
         if (agents.isEmpty()) {
-            throw part.wrong("agents", "names none; give at least one, as [127.0.0.1:8500]");
+            throw part.error("agents", "names none; give at least one, as [127.0.0.1:8500]");
         }
         Map<String, Mapping> services = new LinkedHashMap<>();
         for (Section service : part.sections("services")) {
-            service.only("name", "destination", "kind", "zone");
+            service.allowOnly("name", "destination", "kind", "zone");
             Optional<Long> destination = service.has("destination")
-                    ? Optional.of(service.whole("destination", 0, 0, Long.MAX_VALUE)) : Optional.empty();
+                    ? Optional.of(service.integer("destination", 0, 0, Long.MAX_VALUE)) : Optional.empty();
             services.put(service.text("name"),
                     new Mapping(destination, service.text("kind", ""), service.text("zone", "")));
         }
         String tag = part.text("tag", "");
         if (services.isEmpty() && tag.isEmpty()) {
-            throw part.wrong("services", "is empty; say which services, by `services` or by a `tag` that they bear");
+            throw part.error("services", "is empty; say which services, by `services` or by a `tag` that they bear");
         }
         Optional<Section> tls = part.section("tls");
         Optional<Section> register = part.section("register");
@@ -70,18 +70,18 @@
     }
 
     private static Tls tls(Section part) throws BadInput {
-        part.only("authority", "certificate", "key");
+        part.allowOnly("authority", "certificate", "key");
         Optional<Path> certificate = part.path("certificate");
         Optional<Path> key = part.path("key");
         if (certificate.isPresent() != key.isPresent()) {
-            throw part.wrong(key.isPresent() ? "key" : "certificate", "stands alone; certificate and key go together");
+            throw part.error(key.isPresent() ? "key" : "certificate", "stands alone; certificate and key go together");
         }
         part.text("authority");
         return new Tls(part.path("authority").orElseThrow(), certificate, key);
     }
 
     private static Register register(Section part) throws BadInput {
-        part.only("name", "id", "tags", "ttl");
+        part.allowOnly("name", "id", "tags", "ttl");
         return new Register(part.text("name", "slipfield"), part.text("id", ""), part.texts("tags"),
                 part.millis("ttl", 10_000, 300, LONGEST_WAIT_MS));
     }
--- a/src/main/java/slipfield/directory/merged/MembersConfig.java
+++ b/src/main/java/slipfield/directory/merged/MembersConfig.java
@@ -47,16 +47,16 @@
     }
 
     private static MembersConfig read(Section file) throws BadInput {
-        file.only("precedence", "rules", "consul", "endpoints");
+        file.allowOnly("precedence", "rules", "consul", "endpoints");
         List<String> precedence = file.texts("precedence");
         Set<String> sources = Set.of(PLATFORM, CONSUL, FILE);
         if (precedence.isEmpty() || !sources.containsAll(precedence)
                 || new HashSet<>(precedence).size() < precedence.size()) {
-            throw file.wrong("precedence", "is to name sources once each, of platform, consul and file; write "
+            throw file.error("precedence", "is to name sources once each, of platform, consul and file; write "
                     + "`precedence: [platform, consul]`");
         }
         if (precedence.contains(CONSUL) != file.has(CONSUL)) {
-            throw file.wrong(CONSUL, "is to be in precedence and have its part, or neither; add the one that is missing");
+            throw file.error(CONSUL, "is to be in precedence and have its part, or neither; add the one that is missing");
         }
         Optional<Section> part = file.section(CONSUL);
         Optional<ConsulSettings> consul = part.isPresent() ? Optional.of(ConsulSettings.read(part.get()))
@@ -68,7 +68,7 @@
 
     private static Rules rules(Section rules) throws BadInput {
         Rules d = Rules.DEFAULT;
-        rules.only("steady", "most_steady", "forgive", "most_shrink", "window", "accept");
+        rules.allowOnly("steady", "most_steady", "forgive", "most_shrink", "window", "accept");
         long steady = rules.millis("steady", d.steadyMs(), 0, LONGEST_MS);
         return new Rules(steady, rules.millis("most_steady", Math.max(steady, d.mostSteadyMs()), steady, LONGEST_MS),
                 rules.millis("forgive", d.forgiveMs(), 1, LONGEST_MS), rules.share("most_shrink", d.mostShrink()),
@@ -78,12 +78,12 @@
     private static List<Instance> endpoints(List<Section> list) throws BadInput {
         List<Instance> endpoints = new ArrayList<>();
         for (Section e : list) {
-            e.only("id", "address", "destination", "kind", "zone", "weight", "draining");
+            e.allowOnly("id", "address", "destination", "kind", "zone", "weight", "draining");
             if (!e.has("destination")) {
-                throw e.wrong("destination", "is missing; write the number of the endpoint's destination");
+                throw e.error("destination", "is missing; write the number of the endpoint's destination");
             }
             endpoints.add(new Instance(e.text("id"), Config.hostPort(e.address("address")),
-                    e.whole("destination", 0, 0, Long.MAX_VALUE), e.text("kind", ""), e.text("zone", ""),
+                    e.integer("destination", 0, 0, Long.MAX_VALUE), e.text("kind", ""), e.text("zone", ""),
                     e.number("weight", 0, 0, Double.MAX_VALUE),
                     e.flag("draining", false) ? Status.DRAINING : Status.PASSING));
         }
--- a/src/main/java/slipfield/directory/merged/ViewFile.java
+++ b/src/main/java/slipfield/directory/merged/ViewFile.java
@@ -17,7 +17,7 @@
 import slipfield.membership.Member;
 import slipfield.membership.Membership;
 import slipfield.membership.Status;
-import slipfield.state.KeptJson;
+import slipfield.state.BackgroundJsonFile;
 import slipfield.work.Worker;
 
 /**
@@ -27,7 +27,7 @@
 final class ViewFile implements AutoCloseable {
     private static final int VERSION = 1;
 
-    private final KeptJson file;
+    private final BackgroundJsonFile file;
     private final JsonMapper json = JsonMapper.builder().build();
 
     /** What a source had said, and when by the wall clock. */
@@ -35,12 +35,12 @@
     }
 
     ViewFile(Path folder) {
-        this.file = new KeptJson(folder.resolve(Members.VIEW), "members.view_unwritable");
+        this.file = new BackgroundJsonFile(folder.resolve(Members.VIEW), "members.view_unwritable");
     }
 
     /** It is written by this worker. */
     void by(Worker worker) {
-        file.by(worker);
+        file.setWorker(worker);
     }
 
     /** What was kept of this source; nothing where none was, or the file is damaged. */
--- a/src/main/java/slipfield/front/amqp/Publications.java
+++ b/src/main/java/slipfield/front/amqp/Publications.java
@@ -23,9 +23,9 @@
 import slipfield.core.Desk;
 import slipfield.core.Front;
 import slipfield.core.Outcome;
-import slipfield.journal.Claim;
-import slipfield.journal.Held;
-import slipfield.journal.Owed;
+import slipfield.journal.AnswerRecipient;
+import slipfield.journal.PendingMessage;
+import slipfield.journal.PendingAnswer;
 import slipfield.log.Log;
 
 /**
@@ -39,7 +39,7 @@
 
     private final AmqpServer server;
     private final RoutingTable routes;
-    private final Consumer<Owed> heard;
+    private final Consumer<PendingAnswer> heard;
     /** Who waits for which message's end. */
     private final Map<String, Waiting> waiting = new HashMap<>();
     private final List<Taken> taken = new ArrayList<>();
@@ -52,14 +52,14 @@
     private boolean closing;
     private long unnamed;
 
-    private record Taken(Held held, Publisher from, Publication publication) {
+    private record Taken(PendingMessage held, Publisher from, Publication publication) {
     }
 
     private record Waiting(Publisher publisher, Map<String, List<Publication>> byId) {
     }
 
     /** {@code heard} is told of each answer that was passed on, or that nobody waits for. */
-    public Publications(AmqpServer server, RoutingTable routes, Consumer<Owed> heard) {
+    public Publications(AmqpServer server, RoutingTable routes, Consumer<PendingAnswer> heard) {
         this.server = server;
         this.routes = routes;
         this.heard = heard;
@@ -114,7 +114,7 @@
         } else {
             try {
                 handIn(from, p, reading.read(p, target.get(), from.peer() + "-" + ++unnamed,
-                        new Claim(NAME, from.peer(), true, false)));
+                        new AnswerRecipient(NAME, from.peer(), true, false)));
             } catch (BadInput bad) {
                 refused(from, p, ReplyCode.PRECONDITION_FAILED, bad.getMessage(), 0);
             }
@@ -194,12 +194,12 @@
     // ---- ends ----
 
     @Override
-    public void owe(Owed answer) {
-        Waiting waits = waiting.get(answer.claim().peer());
+    public void owe(PendingAnswer answer) {
+        Waiting waits = waiting.get(answer.recipient().peer());
         if (waits != null) {
-            Held.Notice notice = answer.held().owed.orElseThrow();
-            for (Publication p : publications(waits.publisher, answer.held().id)) {
-                switch (notice.end()) {
+            PendingMessage.Notice notice = answer.message().pendingNotice.orElseThrow();
+            for (Publication p : publications(waits.publisher, answer.message().id)) {
+                switch (notice.answer()) {
                     case DELIVERED -> end(waits.publisher, p, true);
                     case REFUSED -> refused(waits.publisher, p, ReplyCode.RESOURCE_ERROR,
                             "could not be delivered, and did not run", Math.round(notice.waitMs()));
--- a/src/main/java/slipfield/front/amqp/Reading.java
+++ b/src/main/java/slipfield/front/amqp/Reading.java
@@ -8,7 +8,7 @@
 import slipfield.amqp.Publication;
 import slipfield.config.BadInput;
 import slipfield.core.Desk;
-import slipfield.journal.Claim;
+import slipfield.journal.AnswerRecipient;
 
 /** What a publication hands in, checked. */
 final class Reading {
@@ -26,7 +26,7 @@
      *
      * @param ownId used where it has no message-id: nobody can hand it in again under that one
      */
-    Desk.Submission read(Publication p, RoutingTable.Target target, String ownId, Claim claim) throws BadInput {
+    Desk.Submission read(Publication p, RoutingTable.Target target, String ownId, AnswerRecipient claim) throws BadInput {
         Properties properties = p.properties();
         String user = properties.text(Property.USER_ID);
         if (!user.isEmpty() && !user.equals(p.user().name())) {
--- a/src/main/java/slipfield/front/http/Intake.java
+++ b/src/main/java/slipfield/front/http/Intake.java
@@ -44,8 +44,8 @@
 import slipfield.core.Desk;
 import slipfield.core.Follow;
 import slipfield.core.Front;
-import slipfield.journal.Claim;
-import slipfield.journal.Held;
+import slipfield.journal.AnswerRecipient;
+import slipfield.journal.PendingMessage;
 import slipfield.log.Log;
 import slipfield.log.LoggedTask;
 import slipfield.retry.Retry;
@@ -97,7 +97,7 @@
     private boolean closing;
 
     /** A message whose 202 waits for the journal. */
-    private record Taken(Client client, Held held, boolean keepAlive) {
+    private record Taken(Client client, PendingMessage held, boolean keepAlive) {
     }
 
     private record Pending(Client client, ChannelHandlerContext ctx, Object bytes) {
@@ -469,7 +469,7 @@
                 settle();
             }
             Optional<Desk.Known> before = Optional.empty();
-            for (Claim claim : submission.claims()) {
+            for (AnswerRecipient claim : submission.claims()) {
                 before = desk.before(id, claim);
             }
             if (before.isPresent()) {
--- a/src/main/java/slipfield/front/http/Reading.java
+++ b/src/main/java/slipfield/front/http/Reading.java
@@ -9,13 +9,13 @@
 import slipfield.config.BadInput;
 import slipfield.core.Desk;
 import slipfield.core.Follow;
-import slipfield.journal.Claim;
+import slipfield.journal.AnswerRecipient;
 
 /** What a request hands in, checked. */
 final class Reading {
     /** Who follows the message's end, where that is set up. */
     private static final String FOLLOWED_BY = "X-Ends-To";
-    private static final List<Claim> PLATFORM = List.of(Claim.PLATFORM);
+    private static final List<AnswerRecipient> PLATFORM = List.of(AnswerRecipient.PLATFORM);
     /** Between the parts of an envelope. */
     private static final Pattern ENVELOPE = Pattern.compile("[,;\\s]+");
     private static final String DESTINATION = "dest=";
@@ -57,12 +57,12 @@
                 ByteBufUtil.getBytes(request.content()), claims(headers));
     }
 
-    private List<Claim> claims(HttpHeaders headers) throws BadInput {
+    private List<AnswerRecipient> claims(HttpHeaders headers) throws BadInput {
         String peer = follow.isPresent() ? headers.get(FOLLOWED_BY, "") : "";
         if (peer.length() > LONGEST_ID) {
             throw new BadInput(FOLLOWED_BY + " is too long");
         }
-        return peer.isBlank() ? PLATFORM : List.of(Claim.PLATFORM, follow.get().claim(peer));
+        return peer.isBlank() ? PLATFORM : List.of(AnswerRecipient.PLATFORM, follow.get().claim(peer));
     }
 
     private static long destination(HttpHeaders headers) throws BadInput {
--- a/src/main/java/slipfield/journal/Form.java
+++ b/src/main/java/slipfield/journal/Form.java
@@ -65,7 +65,7 @@
         return crc.getValue();
     }
 
-    private static byte[] takenAlone(Held held) {
+    private static byte[] takenAlone(PendingMessage held) {
         return record(out -> {
             out.writeByte(TAKEN);
             out.writeLong(held.number);
@@ -84,24 +84,24 @@
     }
 
     /** In one piece: a message whose claim were cut off would be told to the platform alone. */
-    static byte[] taken(Held held) {
+    static byte[] taken(PendingMessage held) {
         byte[] taken = takenAlone(held);
-        if (held.claims.equals(List.of(Claim.PLATFORM))) {
+        if (held.recipients.equals(List.of(AnswerRecipient.PLATFORM))) {
             return taken;
         }
         ByteArrayOutputStream all = new ByteArrayOutputStream(taken.length + 64);
         all.writeBytes(taken);
-        if (held.claims.isEmpty()) {
-            all.writeBytes(heard(held, Claim.PLATFORM));
+        if (held.recipients.isEmpty()) {
+            all.writeBytes(heard(held, AnswerRecipient.PLATFORM));
         }
-        for (int i = 0; i < held.claims.size(); i++) {
-            all.writeBytes(claimed(held, held.claims.get(i), i == 0));
+        for (int i = 0; i < held.recipients.size(); i++) {
+            all.writeBytes(claimed(held, held.recipients.get(i), i == 0));
         }
         return all.toByteArray();
     }
 
     /** {@code alone}: in place of the platform, which else has to hear of each message. */
-    static byte[] claimed(Held held, Claim claim, boolean alone) {
+    static byte[] claimed(PendingMessage held, AnswerRecipient claim, boolean alone) {
         return record(out -> {
             out.writeByte(CLAIMED);
             out.writeLong(held.number);
@@ -110,7 +110,7 @@
         });
     }
 
-    static byte[] heard(Held held, Claim claim) {
+    static byte[] heard(PendingMessage held, AnswerRecipient claim) {
         return record(out -> {
             out.writeByte(HEARD);
             out.writeLong(held.number);
@@ -118,18 +118,18 @@
         });
     }
 
-    private static void write(Claim claim, DataOutputStream out) throws IOException {
-        out.writeUTF(claim.outcome());
+    private static void write(AnswerRecipient claim, DataOutputStream out) throws IOException {
+        out.writeUTF(claim.channel());
         out.writeUTF(claim.peer());
-        out.writeBoolean(claim.delivered());
-        out.writeBoolean(claim.keep());
+        out.writeBoolean(claim.includesDeliveries());
+        out.writeBoolean(claim.keepsAnswers());
     }
 
-    static Claim claim(DataInputStream in) throws IOException {
-        return new Claim(in.readUTF(), in.readUTF(), in.readBoolean(), in.readBoolean());
+    static AnswerRecipient claim(DataInputStream in) throws IOException {
+        return new AnswerRecipient(in.readUTF(), in.readUTF(), in.readBoolean(), in.readBoolean());
     }
 
-    static byte[] attempt(Held held, Held.Attempt attempt) {
+    static byte[] attempt(PendingMessage held, PendingMessage.Attempt attempt) {
         return record(out -> {
             out.writeByte(ATTEMPT);
             out.writeLong(held.number);
@@ -138,7 +138,7 @@
         });
     }
 
-    static byte[] neverRan(Held held, int attempt) {
+    static byte[] neverRan(PendingMessage held, int attempt) {
         return record(out -> {
             out.writeByte(NEVER_RAN);
             out.writeLong(held.number);
@@ -146,13 +146,13 @@
         });
     }
 
-    static byte[] owed(Held held, Held.Notice notice) {
+    static byte[] owed(PendingMessage held, PendingMessage.Notice notice) {
         return record(out -> {
-            boolean delivered = notice.end() == Held.End.DELIVERED;
+            boolean delivered = notice.answer() == PendingMessage.FinalAnswer.DELIVERED;
             out.writeByte(delivered ? OWED_DELIVERED : OWED);
             out.writeLong(held.number);
             if (!delivered) {
-                out.writeBoolean(notice.end() == Held.End.REFUSED);
+                out.writeBoolean(notice.answer() == PendingMessage.FinalAnswer.REFUSED);
                 out.writeDouble(notice.waitMs());
             }
         });
@@ -169,11 +169,11 @@
         });
     }
 
-    static byte[] pace(Journal.PaceOf of, DeliveryPolicy.SendRate pace) {
+    static byte[] pace(Journal.SendRateKey of, DeliveryPolicy.SendRate pace) {
         return record(out -> {
             out.writeByte(PACE);
             out.writeLong(of.destination());
-            out.writeUTF(of.route());
+            out.writeUTF(of.endpoint());
             out.writeDouble(pace.perMs());
             // Earlier forms held a figure here that nothing reads any more.
             out.writeDouble(0);
@@ -190,7 +190,7 @@
         });
     }
 
-    static byte[] clock(LifeClock.Mark clock) {
+    static byte[] clock(ProcessClock.Reference clock) {
         return record(out -> {
             out.writeByte(CLOCK);
             out.writeLong(clock.wallMs());
--- a/src/main/java/slipfield/journal/Journal.java
+++ b/src/main/java/slipfield/journal/Journal.java
@@ -39,7 +39,7 @@
     }
 
     private final Opener opener;
-    private final LifeClock.Mark clock;
+    private final ProcessClock.Reference clock;
     private final Path file;
     private final Path next;
     private final long bound;
@@ -59,17 +59,17 @@
      * place. All is written anew before anything else is.
      */
     private boolean stale;
-    /** Whether a stale file is written anew by {@link #repair} and {@link #flush} alone, not by each record that comes. */
+    /** Whether a stale file is written anew by {@link #repair} and {@link #flushBatch} alone, not by each record that comes. */
     private boolean repairedByOwner;
     /** Absent unless the sender is traced. */
     private Trace trace;
 
     public Journal(Path folder, long diskBytes, int maxAttempts) throws IOException {
-        this(folder, diskBytes, maxAttempts, LifeClock.system().mark(), FileChannel::open);
+        this(folder, diskBytes, maxAttempts, ProcessClock.system().reference(), FileChannel::open);
     }
 
     /** Times of earlier lives are moved to this life's reckoning as they are read. */
-    public Journal(Path folder, long diskBytes, int maxAttempts, LifeClock.Mark clock, Opener opener) throws IOException {
+    public Journal(Path folder, long diskBytes, int maxAttempts, ProcessClock.Reference clock, Opener opener) throws IOException {
         this.opener = opener;
         this.clock = clock;
         this.file = folder.resolve("journal");
@@ -123,7 +123,7 @@
     }
 
     /** What was held when the last process ended, in the order taken. */
-    public List<Held> held() {
+    public List<PendingMessage> pendingMessages() {
         return new ArrayList<>(kept.live.values());
     }
 
@@ -133,7 +133,7 @@
     }
 
     /** Takes a message on, or throws: then it must be refused. */
-    public void taken(Held held) throws IOException {
+    public void recordAccepted(PendingMessage held) throws IOException {
         byte[] record = Form.taken(held);
         if (2 * kept.bytesWith(record.length) > bound) {
             throw new IOException("the journal has no room for another message");
@@ -149,84 +149,84 @@
      * Whether the next life finds this message, though the batch that it was taken on in could not be written: then it must
      * not be refused.
      */
-    public boolean isRecorded(Held held) {
+    public boolean isRecorded(PendingMessage held) {
         return recorded.contains(held.number);
     }
 
     /** An attempt is about to be made; it counts as one that may have run from here on. */
-    public void attempt(Held held, Held.Attempt attempt) throws IOException {
+    public void recordAttempt(PendingMessage held, PendingMessage.Attempt attempt) throws IOException {
         append(held, Form.attempt(held, attempt));
         held.attempts.add(attempt);
     }
 
     /** An end proved that the attempt never ran; if this is lost, it counts as one that may have. */
-    public void neverRan(Held held, int attempt) throws IOException {
+    public void recordNeverRan(PendingMessage held, int attempt) throws IOException {
         held.attempts.get(attempt).neverRan = true;
         note(held, Form.neverRan(held, attempt));
     }
 
     /** The message has ended by a notice that is still to be heard. */
-    public void owed(Held held, Held.Notice notice) throws IOException {
-        held.owed = Optional.of(notice);
+    public void recordAnswer(PendingMessage held, PendingMessage.Notice notice) throws IOException {
+        held.pendingNotice = Optional.of(notice);
         note(held, Form.owed(held, notice));
     }
 
     /** One more has to hear of a held message's end. */
-    public void claimed(Held held, Claim claim) throws IOException {
+    public void recordRecipient(PendingMessage held, AnswerRecipient claim) throws IOException {
         append(held, Form.claimed(held, claim, false));
-        held.claims.add(claim);
+        held.recipients.add(claim);
     }
 
     /** A claimant has heard of the message's end, or asks for it no more; an end that all have heard is over. */
-    public void heard(Held held, Claim claim) throws IOException {
-        held.claims.remove(claim);
-        if (held.claims.isEmpty() && held.owed.isPresent()) {
-            ended(held);
+    public void recordAcknowledged(PendingMessage held, AnswerRecipient claim) throws IOException {
+        held.recipients.remove(claim);
+        if (held.recipients.isEmpty() && held.pendingNotice.isPresent()) {
+            recordCompleted(held);
         } else {
             note(held, Form.heard(held, claim));
         }
     }
 
     /** Nothing more is owed for the message; its id is known for a while. */
-    public void ended(Held held) throws IOException {
+    public void recordCompleted(PendingMessage held) throws IOException {
         // First: a compaction that its record causes has to tell of it, since there the record finds no message any more.
         kept.over(held.id, delivered(held));
         end(held, Form.ENDED);
     }
 
-    static boolean delivered(Held held) {
-        return held.owed.isEmpty() || held.owed.get().end() == Held.End.DELIVERED;
+    static boolean delivered(PendingMessage held) {
+        return held.pendingNotice.isEmpty() || held.pendingNotice.get().answer() == PendingMessage.FinalAnswer.DELIVERED;
     }
 
     /** The message was never taken on in its client's eyes, and its id means nothing. */
-    public void withdrawn(Held held) throws IOException {
+    public void recordWithdrawn(PendingMessage held) throws IOException {
         end(held, Form.WITHDRAWN);
     }
 
-    private void end(Held held, int type) throws IOException {
+    private void end(PendingMessage held, int type) throws IOException {
         if (kept.remove(held)) {
             writeKnown(Form.end(type, held.number));
         }
     }
 
     /** Ids of messages that were over when the last process ended, the oldest first; true where delivered. */
-    public Map<String, Boolean> over() {
+    public Map<String, Boolean> completedIds() {
         return new LinkedHashMap<>(kept.over);
     }
 
     /** A destination, and one of its endpoints where these have limits of their own, else an empty name. */
-    public record PaceOf(long destination, String route) {
+    public record SendRateKey(long destination, String endpoint) {
     }
 
     /** A pace has changed; one that is unbounded takes up no room. */
-    public void pace(PaceOf of, DeliveryPolicy.SendRate now) throws IOException {
+    public void recordSendRate(SendRateKey of, DeliveryPolicy.SendRate now) throws IOException {
         byte[] record = Form.pace(of, now);
         kept.pace(of, now, record.length);
         writeKnown(record);
     }
 
     /** The paces that were known when the last process ended. */
-    public Map<PaceOf, DeliveryPolicy.SendRate> paces() {
+    public Map<SendRateKey, DeliveryPolicy.SendRate> sendRates() {
         return new LinkedHashMap<>(kept.paces);
     }
 
@@ -235,14 +235,14 @@
     }
 
     /** What is known of an endpoint has changed; one that is in service, or forgotten, takes up no room. */
-    public void health(String endpoint, Health now) throws IOException {
+    public void recordHealth(String endpoint, Health now) throws IOException {
         byte[] record = Form.health(endpoint, now);
         kept.health(endpoint, now, record.length);
         writeKnown(record);
     }
 
     /** What was known when the last process ended, of endpoints that were not in service. */
-    public Map<String, Health> health() {
+    public Map<String, Health> endpointHealth() {
         return new TreeMap<>(kept.health);
     }
 
@@ -267,13 +267,13 @@
     // ---- writing ----
 
     /** Nothing of it is so unless its record is written. */
-    private void append(Held held, byte[] record) throws IOException {
+    private void append(PendingMessage held, byte[] record) throws IOException {
         write(record);
         kept.count(held, record.length);
     }
 
     /** It is so, whether or not its record can be written now. */
-    private void note(Held held, byte[] record) throws IOException {
+    private void note(PendingMessage held, byte[] record) throws IOException {
         kept.count(held, record.length);
         writeKnown(record);
     }
@@ -297,7 +297,7 @@
      * From now on a record that comes while the file lacks something fails at once, and the owner calls {@link #repair}. Writing all
      * anew takes as long as the journal is large: not for each record while a disk goes on failing.
      */
-    public void repairedByOwner() {
+    public void useExplicitRepair() {
         repairedByOwner = true;
     }
 
@@ -309,7 +309,7 @@
     }
 
     /** Accounts for the writing of records from now on. */
-    public void traced(Trace by) {
+    public void setTrace(Trace by) {
         trace = by;
     }
 
@@ -326,8 +326,8 @@
         }
     }
 
-    /** Records are collected from now on, until {@link #flush}. */
-    public void begin() {
+    /** Records are collected from now on, until {@link #flushBatch}. */
+    public void beginBatch() {
         batching = true;
     }
 
@@ -335,7 +335,7 @@
      * Writes what was collected, in one piece. If it throws, none of it is in the file: what it stood for must not be
      * done. What a compaction has meanwhile taken into the new file counts as written.
      */
-    public void flush() throws IOException {
+    public void flushBatch() throws IOException {
         batching = false;
         if (batch.size() == 0) {
             return;
@@ -373,7 +373,7 @@
     }
 
     /** Drops what was collected: memory holds it, and the file is stale. */
-    public void discard() {
+    public void discardBatch() {
         batching = false;
         stale |= batch.size() > 0;
         emptyBatch();
--- a/src/main/java/slipfield/journal/JournalReader.java
+++ b/src/main/java/slipfield/journal/JournalReader.java
@@ -16,18 +16,18 @@
     }
 
     /** What is held, in the order taken. */
-    public List<Held> held() {
-        return journal.held();
+    public List<PendingMessage> pendingMessages() {
+        return journal.pendingMessages();
     }
 
     /** Ids of messages that are over, the oldest first; true where delivered. */
-    public Map<String, Boolean> over() {
-        return journal.over();
+    public Map<String, Boolean> completedIds() {
+        return journal.completedIds();
     }
 
     /** Bytes of the file. */
     public long bytes() {
-        return journal.size() + torn();
+        return journal.size() + tornBytes();
     }
 
     /** Records that can be read, mended ones with them. */
@@ -36,17 +36,17 @@
     }
 
     /** Records in which one bit was wrong. */
-    public long mended() {
+    public long correctedRecords() {
         return journal.replayed().mended();
     }
 
     /** Bytes before the last whole record that can't be read. */
-    public long lost() {
+    public long unreadableBytes() {
         return journal.replayed().lost();
     }
 
     /** Bytes behind the last whole record. */
-    public long torn() {
+    public long tornBytes() {
         return journal.replayed().torn();
     }
 }
--- a/src/main/java/slipfield/journal/Kept.java
+++ b/src/main/java/slipfield/journal/Kept.java
@@ -18,10 +18,10 @@
     /** Part of the bound for ids that are over. */
     private static final int OVER_PART = 32;
 
-    final Map<Long, Held> live = new TreeMap<>();
+    final Map<Long, PendingMessage> live = new TreeMap<>();
     /** What the module last knew of endpoints that are not in service. */
     final Map<String, Journal.Health> health = new TreeMap<>();
-    final Map<Journal.PaceOf, DeliveryPolicy.SendRate> paces = new LinkedHashMap<>();
+    final Map<Journal.SendRateKey, DeliveryPolicy.SendRate> paces = new LinkedHashMap<>();
     /** Ids of messages that are over, the newest last, and whether they were delivered. */
     final Map<String, Boolean> over = new LinkedHashMap<>();
     private final long mostOverBytes;
@@ -56,13 +56,13 @@
     }
 
     /** A record of a message is, or will be, in the file. */
-    void count(Held held, int length) {
+    void count(PendingMessage held, int length) {
         held.bytes += length;
         bytes += length;
     }
 
     /** A message is over, or was never taken; false: it was not held. */
-    boolean remove(Held held) {
+    boolean remove(PendingMessage held) {
         boolean was = live.remove(held.number) != null;
         bytes -= was ? held.bytes : 0;
         return was;
@@ -90,7 +90,7 @@
     }
 
     /** One that is unbounded takes up no room. */
-    void pace(Journal.PaceOf of, DeliveryPolicy.SendRate now, int length) {
+    void pace(Journal.SendRateKey of, DeliveryPolicy.SendRate now, int length) {
         boolean before = paces.remove(of) != null;
         boolean stays = now.perMs() < Double.POSITIVE_INFINITY;
         if (stays) {
@@ -110,13 +110,13 @@
     }
 
     /** All of it as records, in the order in which they are to be read. */
-    byte[] records(LifeClock.Mark clock) {
+    byte[] records(ProcessClock.Reference clock) {
         ByteArrayOutputStream all = new ByteArrayOutputStream((int) bytes);
         all.writeBytes(Form.clock(clock));
         health.forEach((endpoint, known) -> all.writeBytes(Form.health(endpoint, known)));
         paces.forEach((of, known) -> all.writeBytes(Form.pace(of, known)));
         over.forEach((id, delivered) -> all.writeBytes(Form.over(id, delivered)));
-        for (Held held : live.values()) {
+        for (PendingMessage held : live.values()) {
             all.writeBytes(Form.taken(held));
             for (int i = 0; i < held.attempts.size(); i++) {
                 all.writeBytes(Form.attempt(held, held.attempts.get(i)));
@@ -124,8 +124,8 @@
                     all.writeBytes(Form.neverRan(held, i));
                 }
             }
-            if (held.owed.isPresent()) {
-                all.writeBytes(Form.owed(held, held.owed.get()));
+            if (held.pendingNotice.isPresent()) {
+                all.writeBytes(Form.owed(held, held.pendingNotice.get()));
             }
         }
         return all.toByteArray();
--- a/src/main/java/slipfield/journal/Owed.java
+++ b/src/main/java/slipfield/journal/PendingAnswer.java
@@ -1,5 +1,5 @@
 package slipfield.journal;
 
 /** A final answer that one claimant of a message still has to hear. */
-public record Owed(Held held, Claim claim) {
+public record PendingAnswer(PendingMessage message, AnswerRecipient recipient) {
 }
--- a/src/main/java/slipfield/journal/LifeClock.java
+++ b/src/main/java/slipfield/journal/ProcessClock.java
@@ -11,7 +11,7 @@
  * meanwhile moves no deadline. Beside it the machine's own time since boot, by which the next life can tell how
  * far the wall clock was moved between the two.
  */
-public final class LifeClock {
+public final class ProcessClock {
     private static final Path BOOT = Path.of("/proc/sys/kernel/random/boot_id");
 
     /** For how long reading it is tried: a life that does not know its boot can't tell that the wall clock was set. */
@@ -23,7 +23,7 @@
     private final long boot;
 
     /** What the system's clocks say; {@code boot} is 0 where boots can't be told apart. */
-    public LifeClock(long wallMs, long monoMs, long boot) {
+    public ProcessClock(long wallMs, long monoMs, long boot) {
         this.wallStart = wallMs;
         this.nanoStart = System.nanoTime();
         this.monoStart = monoMs;
@@ -31,7 +31,7 @@
     }
 
     /** The system's clocks now. */
-    public static LifeClock system() {
+    public static ProcessClock system() {
         long boot = 0;
         try {
             // On Linux nanoTime counts from boot, so it goes on in the next process.
@@ -40,7 +40,7 @@
         } catch (IOException | RuntimeException e) {
             Log.warn("clock.boot_unknown");
         }
-        return new LifeClock(System.currentTimeMillis(), System.nanoTime() / 1_000_000, boot);
+        return new ProcessClock(System.currentTimeMillis(), System.nanoTime() / 1_000_000, boot);
     }
 
     /** Milliseconds since 1970, by this life's reckoning. */
@@ -49,14 +49,14 @@
     }
 
     /** What the next life needs to know of this reckoning. */
-    public Mark mark() {
-        return new Mark(wallStart, monoStart, boot);
+    public Reference reference() {
+        return new Reference(wallStart, monoStart, boot);
     }
 
     /** A reckoning: the wall clock at a moment of the time since boot. */
-    public record Mark(long wallMs, long monoMs, long boot) {
+    public record Reference(long wallMs, long monoMs, long boot) {
         /** What to add to a time of that reckoning for it to be of this one; 0 where that can't be told. */
-        long shiftTo(Mark now) {
+        long shiftTo(Reference now) {
             return boot == 0 || boot != now.boot ? 0 : now.wallMs - now.monoMs - (wallMs - monoMs);
         }
     }
--- a/src/main/java/slipfield/journal/Replay.java
+++ b/src/main/java/slipfield/journal/Replay.java
@@ -20,14 +20,14 @@
 
     private final Kept kept;
     /** This life's reckoning of time, or the file's own. */
-    private final Optional<LifeClock.Mark> clock;
+    private final Optional<ProcessClock.Reference> clock;
     /** The latest time that a record has told, by this life's clock. */
     private long latestMs = Long.MIN_VALUE;
     /** What to add to the times of the records that are read. */
     private long shift;
     private int end;
 
-    Replay(Kept kept, Optional<LifeClock.Mark> clock) {
+    Replay(Kept kept, Optional<ProcessClock.Reference> clock) {
         this.kept = kept;
         this.clock = clock;
     }
@@ -63,10 +63,10 @@
     }
 
     private void mayHaveRun() {
-        for (Held held : kept.live.values()) {
-            if (!held.over) {
+        for (PendingMessage held : kept.live.values()) {
+            if (!held.finished) {
                 // At the earliest that it may have been sent: a window counts from there.
-                held.attempts.add(new Held.Attempt(UNKNOWN, Math.max(latestMs, 0)));
+                held.attempts.add(new PendingMessage.Attempt(UNKNOWN, Math.max(latestMs, 0)));
                 kept.count(held, Kept.ATTEMPT_ROOM);
             }
         }
@@ -89,7 +89,7 @@
                 return;
             }
             case Form.PACE -> {
-                Journal.PaceOf of = new Journal.PaceOf(number, in.readUTF());
+                Journal.SendRateKey of = new Journal.SendRateKey(number, in.readUTF());
                 double perMs = in.readDouble();
                 in.readDouble();
                 kept.pace(of, new DeliveryPolicy.SendRate(perMs, in.readDouble()), length);
@@ -100,7 +100,7 @@
                 return;
             }
             case Form.CLOCK -> {
-                LifeClock.Mark written = new LifeClock.Mark(number, in.readLong(), in.readLong());
+                ProcessClock.Reference written = new ProcessClock.Reference(number, in.readLong(), in.readLong());
                 shift = clock.isEmpty() ? 0 : written.shiftTo(clock.get());
                 shift = Math.abs(shift) < SET_MS ? 0 : shift;
                 if (shift != 0) {
@@ -117,37 +117,39 @@
             String tenant = in.readUTF();
             boolean keyed = in.readBoolean();
             String key = in.readUTF();
-            Held held = new Held(number, id, messageClass, tenant, keyed ? Optional.of(key) : Optional.empty(),
+            PendingMessage held = new PendingMessage(number, id, messageClass, tenant,
+                    keyed ? Optional.of(key) : Optional.empty(),
                     in.readLong(), in.readLong() + shift, in.readNBytes(in.readInt()));
             held.reserveMs = in.available() >= Integer.BYTES ? in.readInt() : 0;
             kept.live.put(number, held);
             kept.count(held, length);
             return;
         }
-        Held held = kept.live.get(number);
+        PendingMessage held = kept.live.get(number);
         if (held == null) {
             return;
         }
         switch (type) {
-            case Form.ATTEMPT -> held.attempts.add(new Held.Attempt(in.readUTF(), moved(in.readLong())));
+            case Form.ATTEMPT -> held.attempts.add(new PendingMessage.Attempt(in.readUTF(), moved(in.readLong())));
             case Form.NEVER_RAN -> held.attempts.get(in.readInt()).neverRan = true;
             case Form.OWED -> {
-                held.owed = Optional.of(new Held.Notice(in.readBoolean() ? Held.End.REFUSED : Held.End.FAILED,
+                held.pendingNotice = Optional.of(new PendingMessage.Notice(in.readBoolean()
+                        ? PendingMessage.FinalAnswer.REFUSED : PendingMessage.FinalAnswer.FAILED,
                         in.readDouble()));
-                held.over = true;
+                held.finished = true;
             }
             case Form.OWED_DELIVERED -> {
-                held.owed = Optional.of(new Held.Notice(Held.End.DELIVERED, 0));
-                held.claims.removeIf(c -> !c.delivered());
-                held.over = true;
+                held.pendingNotice = Optional.of(new PendingMessage.Notice(PendingMessage.FinalAnswer.DELIVERED, 0));
+                held.recipients.removeIf(c -> !c.includesDeliveries());
+                held.finished = true;
             }
             case Form.CLAIMED -> {
                 if (in.readBoolean()) {
-                    held.claims.clear();
+                    held.recipients.clear();
                 }
-                held.claims.add(Form.claim(in));
+                held.recipients.add(Form.claim(in));
             }
-            case Form.HEARD -> held.claims.remove(Form.claim(in));
+            case Form.HEARD -> held.recipients.remove(Form.claim(in));
             case Form.ENDED, Form.WITHDRAWN -> {
                 kept.remove(held);
                 if (type == Form.ENDED) {
--- a/src/main/java/slipfield/outcome/Notices.java
+++ b/src/main/java/slipfield/outcome/Notices.java
@@ -21,8 +21,8 @@
 import java.util.function.Supplier;
 import slipfield.agent.Agent;
 import slipfield.core.Outcome;
-import slipfield.journal.Held;
-import slipfield.journal.Owed;
+import slipfield.journal.PendingMessage;
+import slipfield.journal.PendingAnswer;
 import slipfield.log.Log;
 
 /**
@@ -42,17 +42,17 @@
 
     private final EventLoop loop;
     private Supplier<Agent> agents;
-    private final Consumer<Owed> heard;
+    private final Consumer<PendingAnswer> heard;
     private final ObjectMapper json = JsonMapper.builder().build();
     /** What is in no batch that is out. */
-    private final Deque<Owed> owed = new ArrayDeque<>();
+    private final Deque<PendingAnswer> owed = new ArrayDeque<>();
     private final List<Lane> lanes = new ArrayList<>();
     private int most = MOST_IN_BATCH;
 
     /** A connection, and whether it can take a batch. */
     private static final class Lane {
         private final Agent agent;
-        private List<Owed> batch = List.of();
+        private List<PendingAnswer> batch = List.of();
         private boolean rests;
 
         Lane(Agent agent) {
@@ -60,14 +60,14 @@
         }
     }
 
-    public Notices(EventLoop loop, Supplier<Agent> agents, Consumer<Owed> heard) {
+    public Notices(EventLoop loop, Supplier<Agent> agents, Consumer<PendingAnswer> heard) {
         this.loop = loop;
         this.agents = agents;
         this.heard = heard;
     }
 
     @Override
-    public void owe(Owed answer) {
+    public void owe(PendingAnswer answer) {
         owed.add(answer);
     }
 
@@ -125,7 +125,7 @@
     }
 
     private void post(Lane lane) {
-        List<Owed> batch = new ArrayList<>();
+        List<PendingAnswer> batch = new ArrayList<>();
         StringBuilder lines = new StringBuilder();
         while (!owed.isEmpty() && batch.size() < most) {
             String line = line(owed.peek());
@@ -142,10 +142,10 @@
         lane.agent.ask(request, LIMIT_MS, answer -> answered(lane, answer));
     }
 
-    private String line(Owed answer) {
-        Held held = answer.held();
-        Held.Notice notice = held.owed.orElseThrow();
-        boolean refused = notice.end() == Held.End.REFUSED;
+    private String line(PendingAnswer answer) {
+        PendingMessage held = answer.message();
+        PendingMessage.Notice notice = held.pendingNotice.orElseThrow();
+        boolean refused = notice.answer() == PendingMessage.FinalAnswer.REFUSED;
         ObjectNode line = json.createObjectNode();
         line.put("ref", held.id);
         line.put("result", refused ? "bounced" : "dead");
@@ -158,7 +158,7 @@
     private void answered(Lane lane, Optional<FullHttpResponse> answer) {
         int status = answer.map(a -> a.status().code()).orElse(0);
         if (status == 204) {
-            List<Owed> told = lane.batch;
+            List<PendingAnswer> told = lane.batch;
             lane.batch = List.of();
             most = MOST_IN_BATCH;
             told.forEach(heard);
--- a/src/main/java/slipfield/outcome/ends/ClientsConfig.java
+++ b/src/main/java/slipfield/outcome/ends/ClientsConfig.java
@@ -29,13 +29,13 @@
 
     /** Reads it; an error names file, line, column and mend. */
     public static ClientsConfig read(Path path) throws IOException, BadInput {
-        Section file = SettingsFile.read(path).only("reconnect_within", "wait_scope", "ends");
+        Section file = SettingsFile.read(path).allowOnly("reconnect_within", "wait_scope", "ends");
         Optional<Keep> keep = Optional.empty();
         Optional<Section> ends = file.section("ends");
         if (ends.isPresent()) {
-            Section e = ends.get().only("keep", "most", "most_kb");
+            Section e = ends.get().allowOnly("keep", "most", "most_kb");
             keep = Optional.of(new Keep(e.millis("keep", 60_000, 1000, LONGEST_MS),
-                    (int) e.whole("most", 10_000, 1, 1_000_000), 1024 * e.whole("most_kb", 2048, 1, 1 << 20)));
+                    (int) e.integer("most", 10_000, 1, 1_000_000), 1024 * e.integer("most_kb", 2048, 1, 1 << 20)));
         }
         return new ClientsConfig(file.has("reconnect_within") ? file.millis("reconnect_within", 0, 0, LONGEST_MS) : -1,
                 file.flag("wait_scope", true), keep);
--- a/src/main/java/slipfield/outcome/ends/Ends.java
+++ b/src/main/java/slipfield/outcome/ends/Ends.java
@@ -15,9 +15,9 @@
 import java.util.function.Consumer;
 import slipfield.core.Follow;
 import slipfield.core.Outcome;
-import slipfield.journal.Claim;
-import slipfield.journal.Held;
-import slipfield.journal.Owed;
+import slipfield.journal.AnswerRecipient;
+import slipfield.journal.PendingMessage;
+import slipfield.journal.PendingAnswer;
 import slipfield.log.Log;
 import slipfield.log.LoggedTask;
 
@@ -36,7 +36,7 @@
 
     private final EventLoop loop;
     private final ClientsConfig.Keep keep;
-    private final Consumer<Owed> heard;
+    private final Consumer<PendingAnswer> heard;
     private final String epoch;
     private final JsonMapper json = JsonMapper.builder().build();
     private final Map<String, Peer> peers = new HashMap<>();
@@ -46,9 +46,9 @@
     private long bytes;
     private boolean released;
 
-    private record Entry(long place, Owed owed, long sinceNanos) {
+    private record Entry(long place, PendingAnswer owed, long sinceNanos) {
         private long size() {
-            return OVERHEAD + owed.held().body.length + owed.held().id.length();
+            return OVERHEAD + owed.message().body.length + owed.message().id.length();
         }
     }
 
@@ -92,7 +92,7 @@
      * @param epoch another in each life
      * @param heard is told of each that needs not be kept any more
      */
-    public Ends(EventLoop loop, ClientsConfig.Keep keep, String epoch, Consumer<Owed> heard) {
+    public Ends(EventLoop loop, ClientsConfig.Keep keep, String epoch, Consumer<PendingAnswer> heard) {
         this.loop = loop;
         this.keep = keep;
         this.epoch = epoch;
@@ -101,16 +101,16 @@
     }
 
     @Override
-    public Claim claim(String peer) {
-        return new Claim(NAME, peer, true, true);
+    public AnswerRecipient claim(String peer) {
+        return new AnswerRecipient(NAME, peer, true, true);
     }
 
     @Override
-    public void owe(Owed answer) {
+    public void owe(PendingAnswer answer) {
         Entry entry = new Entry(next++, answer, System.nanoTime());
         all.put(entry.place, entry);
         bytes += entry.size();
-        peers.computeIfAbsent(answer.claim().peer(), p -> new Peer()).entries.addLast(entry);
+        peers.computeIfAbsent(answer.recipient().peer(), p -> new Peer()).entries.addLast(entry);
         int dropped = 0;
         while (all.size() > keep.most() || bytes > keep.mostBytes() && all.size() > 1) {
             drop(all.values().iterator().next());
@@ -179,10 +179,10 @@
     private String lines(Peer peer) {
         StringBuilder lines = new StringBuilder();
         for (Entry entry : peer.entries) {
-            Held held = entry.owed.held();
-            Held.Notice notice = held.owed.orElseThrow();
+            PendingMessage held = entry.owed.message();
+            PendingMessage.Notice notice = held.pendingNotice.orElseThrow();
             ObjectNode line = json.createObjectNode().put("cursor", epoch + "-" + entry.place).put("ref", held.id)
-                    .put("end", switch (notice.end()) {
+                    .put("end", switch (notice.answer()) {
                         case DELIVERED -> "delivered";
                         case REFUSED -> "refused";
                         case FAILED -> "failed";
@@ -201,7 +201,7 @@
     private void drop(Entry entry) {
         all.remove(entry.place);
         bytes -= entry.size();
-        String name = entry.owed.claim().peer();
+        String name = entry.owed.recipient().peer();
         Peer peer = peers.get(name);
         peer.entries.remove(entry);
         forget(name, peer);
--- a/src/main/java/slipfield/rig/ScheduleFile.java
+++ b/src/main/java/slipfield/rig/ScheduleFile.java
@@ -39,13 +39,13 @@
     }
 
     static Schedule read(Section root) throws BadInput {
-        root.only("senders", "venues", "length", "faults");
-        int senders = (int) root.whole("senders", USUAL_SENDERS, 1, Schedule.MOST_SENDERS);
-        int venues = (int) root.whole("venues", USUAL_VENUES, 1, Schedule.MOST_VENUES);
+        root.allowOnly("senders", "venues", "length", "faults");
+        int senders = (int) root.integer("senders", USUAL_SENDERS, 1, Schedule.MOST_SENDERS);
+        int venues = (int) root.integer("venues", USUAL_VENUES, 1, Schedule.MOST_VENUES);
         long lengthMs = root.millis("length", USUAL_MS, LEAST_MS, Schedule.MOST_MS);
         List<Fault> faults = new ArrayList<>();
         for (Section each : root.sections("faults")) {
-            each.only("kind", "at", "for", "senders", "others", "size");
+            each.allowOnly("kind", "at", "for", "senders", "others", "size");
             Kind kind = WORDS.get(each.oneOf("kind", "", WORDS.keySet()));
             long at = each.millis("at", 0, 0, lengthMs);
             long length = each.millis("for", 0, 0, lengthMs - at);
@@ -54,7 +54,7 @@
             faults.add(new Fault(kind, at, length, struck, others, each.number("size", 0, 0, MOST_SIZE)));
         }
         if (faults.size() > Schedule.MOST_FAULTS) {
-            throw root.wrong("faults", "has " + faults.size() + " of them; leave " + Schedule.MOST_FAULTS + " at most");
+            throw root.error("faults", "has " + faults.size() + " of them; leave " + Schedule.MOST_FAULTS + " at most");
         }
         return new Schedule(senders, venues, lengthMs, faults);
     }
@@ -64,7 +64,7 @@
         for (String text : of.texts(key)) {
             int number = text.matches("[0-9]{1,6}") ? Integer.parseInt(text) : many;
             if (number >= many) {
-                throw of.wrong(key, "'" + text + "' is none of them; write numbers from 0 to " + (many - 1));
+                throw of.error(key, "'" + text + "' is none of them; write numbers from 0 to " + (many - 1));
             }
             numbers.add(number);
         }
--- a/src/main/java/slipfield/settings/Section.java
+++ b/src/main/java/slipfield/settings/Section.java
@@ -45,15 +45,15 @@
         this.node = node;
         this.name = name;
         if (!(node instanceof MappingNode mapping)) {
-            throw wrong(node, title() + " is a mapping; write `key: value` lines under it");
+            throw error(node, title() + " is a mapping; write `key: value` lines under it");
         }
         for (NodeTuple tuple : mapping.getValue()) {
             Node key = tuple.getKeyNode();
             if (!(key instanceof ScalarNode scalar)) {
-                throw wrong(key, "a key is a plain word; write `key: value`");
+                throw error(key, "a key is a plain word; write `key: value`");
             }
             if (fields.put(scalar.getValue(), tuple.getValueNode()) != null) {
-                throw wrong(key, "'" + scalar.getValue() + "' is set twice in " + title() + "; keep one of the two");
+                throw error(key, "'" + scalar.getValue() + "' is set twice in " + title() + "; keep one of the two");
             }
             keys.put(scalar.getValue(), key);
         }
@@ -68,13 +68,13 @@
     }
 
     /** Refuses all fields but these; a name that is nearly one of them is asked about. */
-    public Section only(String... known) throws BadInput {
+    public Section allowOnly(String... known) throws BadInput {
         Set<String> names = new TreeSet<>(List.of(known));
         for (Map.Entry<String, Node> key : keys.entrySet()) {
             if (!names.contains(key.getKey())) {
                 String near = names.stream().filter(n -> near(n, key.getKey())).findFirst()
                         .map(n -> "did you mean '" + n + "'?").orElse("it knows " + names);
-                throw wrong(key.getValue(), title() + " knows no field '" + key.getKey() + "'; " + near);
+                throw error(key.getValue(), title() + " knows no field '" + key.getKey() + "'; " + near);
             }
         }
         return this;
@@ -104,11 +104,11 @@
     }
 
     /** An error at a field, or at this mapping where the field is not there. */
-    public BadInput wrong(String key, String whatAndMend) {
-        return wrong(fields.getOrDefault(key, node), title(key) + " " + whatAndMend);
+    public BadInput error(String key, String whatAndMend) {
+        return error(fields.getOrDefault(key, node), title(key) + " " + whatAndMend);
     }
 
-    private BadInput wrong(Node at, String text) {
+    private BadInput error(Node at, String text) {
         return new BadInput(SettingsFile.place(file, at.getStartMark()) + text);
     }
 
@@ -116,7 +116,7 @@
     public String text(String key) throws BadInput {
         String text = text(key, "");
         if (text.isEmpty()) {
-            throw wrong(key, "is missing; write `" + key + ": ...`");
+            throw error(key, "is missing; write `" + key + ": ...`");
         }
         return text;
     }
@@ -132,7 +132,7 @@
 
     private String scalar(String key, Node value) throws BadInput {
         if (value.getNodeType() != NodeType.SCALAR) {
-            throw wrong(value, title(key) + " is one value, not a list or a mapping; write `" + key + ": ...`");
+            throw error(value, title(key) + " is one value, not a list or a mapping; write `" + key + ": ...`");
         }
         return ((ScalarNode) value).getValue();
     }
@@ -141,13 +141,13 @@
     public String oneOf(String key, String otherwise, Set<String> allowed) throws BadInput {
         String text = text(key, otherwise);
         if (!allowed.contains(text)) {
-            throw wrong(key, "is none of its values: '" + text + "'; write one of " + new TreeSet<>(allowed));
+            throw error(key, "is none of its values: '" + text + "'; write one of " + new TreeSet<>(allowed));
         }
         return text;
     }
 
     /** A whole number within a range, both ends included. */
-    public long whole(String key, long otherwise, long least, long most) throws BadInput {
+    public long integer(String key, long otherwise, long least, long most) throws BadInput {
         if (!has(key)) {
             return otherwise;
         }
@@ -160,7 +160,7 @@
         } catch (NumberFormatException notOne) {
             // Told below, as what is out of its range is.
         }
-        throw wrong(key, "is a whole number" + range(Long.toString(least), Long.toString(most), most == Long.MAX_VALUE)
+        throw error(key, "is a whole number" + range(Long.toString(least), Long.toString(most), most == Long.MAX_VALUE)
                 + ", not '" + text + "'; write it in digits, without a unit");
     }
 
@@ -178,7 +178,7 @@
         } catch (NumberFormatException notOne) {
             // Told below, as what is out of its range is.
         }
-        throw wrong(key, "is a number" + range(Double.toString(least), Double.toString(most), most == Double.MAX_VALUE)
+        throw error(key, "is a number" + range(Double.toString(least), Double.toString(most), most == Double.MAX_VALUE)
                 + ", not '" + text + "'; write it in digits, without a unit");
     }
 
@@ -197,7 +197,7 @@
         } catch (NumberFormatException notOne) {
             // Told below, as what is out of its range is.
         }
-        throw wrong(key, "is a share from 0 to 1, not '" + text + "'; write 0.5 or 50%");
+        throw error(key, "is a share from 0 to 1, not '" + text + "'; write 0.5 or 50%");
     }
 
     /** A time with its unit, such as {@code 250ms}, {@code 1.5s}, {@code 2m}, {@code 1h}; in milliseconds. */
@@ -208,11 +208,11 @@
         String text = text(key, "");
         Matcher time = TIME.matcher(text);
         if (!time.matches()) {
-            throw wrong(key, "is a time with its unit, not '" + text + "'; write it as 250ms, 1.5s, 2m or 1h");
+            throw error(key, "is a time with its unit, not '" + text + "'; write it as 250ms, 1.5s, 2m or 1h");
         }
         double value = Double.parseDouble(time.group(1)) * UNIT_MS.get(time.group(2));
         if (value < least || value > most) {
-            throw wrong(key, "is a time" + range(time(least), time(most), most == Long.MAX_VALUE) + ", not " + text
+            throw error(key, "is a time" + range(time(least), time(most), most == Long.MAX_VALUE) + ", not " + text
                     + "; write one in that range");
         }
         return Math.round(value);
@@ -226,11 +226,11 @@
         String text = text(key, "");
         Matcher rate = RATE.matcher(text);
         if (!rate.matches()) {
-            throw wrong(key, "is a rate with its unit, not '" + text + "'; write it as 20/s, 600/m or 5000/h");
+            throw error(key, "is a rate with its unit, not '" + text + "'; write it as 20/s, 600/m or 5000/h");
         }
         double value = Double.parseDouble(rate.group(1)) * 1000 / UNIT_MS.get(rate.group(2));
         if (value < least || value > most) {
-            throw wrong(key, "is a rate" + range(least + "/s", most + "/s", most == Double.MAX_VALUE) + ", not " + text
+            throw error(key, "is a rate" + range(least + "/s", most + "/s", most == Double.MAX_VALUE) + ", not " + text
                     + "; write one in that range");
         }
         return value;
@@ -279,7 +279,7 @@
         try {
             return Config.address(scalar(key, value));
         } catch (BadInput bad) {
-            throw wrong(value, title(key) + ": " + bad.getMessage() + "; write it as 127.0.0.1:8500");
+            throw error(value, title(key) + ": " + bad.getMessage() + "; write it as 127.0.0.1:8500");
         }
     }
 
@@ -309,7 +309,7 @@
             return List.of();
         }
         if (!(value instanceof SequenceNode sequence)) {
-            throw wrong(value, title(key) + " is a list; write `" + key + ": [...]`, or one `- ...` line for each");
+            throw error(value, title(key) + " is a list; write `" + key + ": [...]`, or one `- ...` line for each");
         }
         return sequence.getValue();
     }
--- a/src/main/java/slipfield/sim/Drill.java
+++ b/src/main/java/slipfield/sim/Drill.java
@@ -219,8 +219,8 @@
         if (params == null || figures[0].isEmpty()) {
             return DeliveryPolicy.LimitReport.NOTHING;
         }
-        return new DeliveryPolicy.LimitReport(figure(figures, params.reportField(Params.TOLD_RATE)),
-                figure(figures, params.reportField(Params.TOLD_LEFT)));
+        return new DeliveryPolicy.LimitReport(figure(figures, params.reportField(Params.REPORTED_RATE)),
+                figure(figures, params.reportField(Params.REPORTED_REMAINING)));
     }
 
     private static double figure(String[] figures, int at) throws BadInput {
--- a/src/main/java/slipfield/state/KeptJson.java
+++ b/src/main/java/slipfield/state/BackgroundJsonFile.java
@@ -18,7 +18,7 @@
  * disk may be slow. What is to be written while a write is on its way takes the place of what waits. One that can't be
  * written is told of once, until one can be again.
  */
-public final class KeptJson implements AutoCloseable {
+public final class BackgroundJsonFile implements AutoCloseable {
     /** The kind of work that this is. */
     public static final Kind KIND = new Kind("views", Grade.SOON, 0.05, 200, 4 << 20, 4, true, 30_000);
     private static final JsonMapper JSON = JsonMapper.builder().build();
@@ -33,13 +33,13 @@
     private boolean failed;
 
     /** {@code event}: what a failed write is logged as. */
-    public KeptJson(Path path, String event) {
+    public BackgroundJsonFile(Path path, String event) {
         this.path = path;
         this.event = event;
     }
 
     /** It is written by this worker, which knows {@link #KIND}. */
-    public void by(Worker does) {
+    public void setWorker(Worker does) {
         worker = does;
     }
 
@@ -67,11 +67,11 @@
         }
     }
 
-    private Task.Done slice() {
+    private Task.SliceResult slice() {
         long bytes = put();
         synchronized (this) {
             queued = next != null;
-            return new Task.Done(bytes, queued);
+            return new Task.SliceResult(bytes, queued);
         }
     }
 
--- a/src/main/java/slipfield/transport/amqp/Queues.java
+++ b/src/main/java/slipfield/transport/amqp/Queues.java
@@ -19,7 +19,7 @@
 import slipfield.amqp.decide.ConsumerRegistry;
 import slipfield.core.Directory;
 import slipfield.core.Transport;
-import slipfield.journal.Held;
+import slipfield.journal.PendingMessage;
 import slipfield.policy.DeliveryPolicy.AttemptOutcome;
 import slipfield.policy.DeliveryPolicy.AttemptTiming;
 import slipfield.policy.DeliveryPolicy.LimitReport;
@@ -153,7 +153,7 @@
     }
 
     @Override
-    public Attempt attempt(Held held, int number, long endpoint, AttemptTiming within, long decidedNanos) {
+    public Attempt attempt(PendingMessage held, int number, long endpoint, AttemptTiming within, long decidedNanos) {
         double leftMs = Math.max(0, within.timeoutMs() - (System.nanoTime() - decidedNanos) / 1e6);
         Line line = lines.get(endpoints.get(endpoint));
         Call call = new Call(held, number, line, leftMs, decidedNanos, within.latestWriteMs());
@@ -180,7 +180,7 @@
 
     /** An attempt: first in a consumer's line, perhaps, then out to it. */
     private final class Call implements Attempt {
-        private final Held held;
+        private final PendingMessage held;
         private final int number;
         private final Line line;
         private final double timeoutMs;
@@ -191,7 +191,7 @@
         private ChannelFuture written;
         private boolean done;
 
-        private Call(Held held, int number, Line line, double timeoutMs, long decidedNanos, double writtenMs) {
+        private Call(PendingMessage held, int number, Line line, double timeoutMs, long decidedNanos, double writtenMs) {
             this.held = held;
             this.number = number;
             this.line = line;
@@ -201,7 +201,7 @@
         }
 
         @Override
-        public Held held() {
+        public PendingMessage held() {
             return held;
         }
 
--- a/src/main/java/slipfield/transport/http/Endpoints.java
+++ b/src/main/java/slipfield/transport/http/Endpoints.java
@@ -43,7 +43,7 @@
 import slipfield.config.Config;
 import slipfield.config.Params;
 import slipfield.core.Transport;
-import slipfield.journal.Held;
+import slipfield.journal.PendingMessage;
 import slipfield.log.Log;
 import slipfield.log.LoggedTask;
 import slipfield.policy.DeliveryPolicy.AttemptOutcome;
@@ -67,8 +67,8 @@
     private static final long ANSWER_MS = 1000;
     /** A connection rests for so long before its next call, lest what comes behind an answer be taken for one. */
     private static final long REST_MS = 10;
-    private static final String TOLD_RATE = Params.TOLD_RATE + "=";
-    private static final String TOLD_LEFT = Params.TOLD_LEFT + "=";
+    private static final String TOLD_RATE = Params.REPORTED_RATE + "=";
+    private static final String TOLD_LEFT = Params.REPORTED_REMAINING + "=";
     /** Between the figures of a report. */
     private static final Pattern FIGURES = Pattern.compile("[,\\s]+");
     /** Longest wait that is believed: no message is held for so long. */
@@ -120,7 +120,7 @@
     }
 
     /** A call of this message, with this answer, on a connection in memory: all but the socket. */
-    public void rehearse(Held held, byte[] answer) {
+    public void rehearse(PendingMessage held, byte[] answer) {
         Peer peer = new Peer();
         peer.address = InetSocketAddress.createUnresolved("rehearsal", 1);
         Call call = new Call(held, 0, peer, 1000, System.nanoTime(), Double.POSITIVE_INFINITY);
@@ -178,7 +178,7 @@
      * as the call was made, and its notice come too late.
      */
     @Override
-    public Attempt attempt(Held held, int number, long endpoint, AttemptTiming within, long decidedNanos) {
+    public Attempt attempt(PendingMessage held, int number, long endpoint, AttemptTiming within, long decidedNanos) {
         double leftMs = Math.max(0, within.timeoutMs() - (System.nanoTime() - decidedNanos) / 1e6);
         Call call = new Call(held, number, peers.get(endpoint), leftMs, decidedNanos, within.latestWriteMs());
         call.timer = loop.schedule(call::timedOut, (long) Math.ceil(leftMs * 1000), TimeUnit.MICROSECONDS);
@@ -261,7 +261,7 @@
 
     /** One attempt on its way. */
     private final class Call implements Attempt {
-        private final Held held;
+        private final PendingMessage held;
         private final int number;
         private final long startedNanos = System.nanoTime();
         private final Peer peer;
@@ -277,7 +277,7 @@
         /** The wait that its answer's head told: it holds from when it was written, whatever becomes of the rest. */
         private double toldWaitMs;
 
-        private Call(Held held, int number, Peer peer, double timeoutMs, long decidedNanos, double writtenMs) {
+        private Call(PendingMessage held, int number, Peer peer, double timeoutMs, long decidedNanos, double writtenMs) {
             this.held = held;
             this.number = number;
             this.peer = peer;
@@ -287,7 +287,7 @@
         }
 
         @Override
-        public Held held() {
+        public PendingMessage held() {
             return held;
         }
 
--- a/src/main/java/slipfield/work/Task.java
+++ b/src/main/java/slipfield/work/Task.java
@@ -9,11 +9,11 @@
      * @return the bytes that it wrote, and whether there is more; its CPU is measured
      * @throws Exception if it failed: it is tried again later, from where it stands
      */
-    Done slice() throws Exception;
+    SliceResult slice() throws Exception;
 
     /** What a slice did. */
-    record Done(long bytes, boolean more) {
+    record SliceResult(long bytes, boolean more) {
         /** It was the last one, and wrote nothing. */
-        public static final Done LAST = new Done(0, false);
+        public static final SliceResult LAST = new SliceResult(0, false);
     }
 }
--- a/src/main/java/slipfield/work/Worker.java
+++ b/src/main/java/slipfield/work/Worker.java
@@ -75,7 +75,7 @@
     }
 
     /** A kind of work. */
-    public void kind(Kind kind) {
+    public void registerKind(Kind kind) {
         scheduler.addKind(kind, nowMs());
     }
 
@@ -160,7 +160,7 @@
             });
         } catch (RejectedExecutionException e) {
             onPool--;
-            ended(slice, new Outcome(0, Task.Done.LAST, e));
+            ended(slice, new Outcome(0, Task.SliceResult.LAST, e));
         }
     }
 
@@ -182,7 +182,7 @@
     }
 
     /** What became of a slice. */
-    private record Outcome(double cpuMs, Task.Done done, Throwable thrown) {
+    private record Outcome(double cpuMs, Task.SliceResult done, Throwable thrown) {
         interface Clock {
             double ms();
         }
@@ -190,10 +190,10 @@
         static Outcome of(Task task, Clock cpu) {
             double before = cpu.ms();
             try {
-                Task.Done done = task == null ? Task.Done.LAST : task.slice();
+                Task.SliceResult done = task == null ? Task.SliceResult.LAST : task.slice();
                 return new Outcome(cpu.ms() - before, done, null);
             } catch (Exception | StackOverflowError e) {
-                return new Outcome(cpu.ms() - before, Task.Done.LAST, e);
+                return new Outcome(cpu.ms() - before, Task.SliceResult.LAST, e);
             }
         }
     }
--- a/src/test/java/slipfield/core/RecoveryTest.java
+++ b/src/test/java/slipfield/core/RecoveryTest.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import slipfield.journal.Claim;
-import slipfield.journal.Held;
+import slipfield.journal.AnswerRecipient;
+import slipfield.journal.PendingMessage;
 
 class RecoveryTest {
     private static final long NOW_MS = 1_000_000;
@@ -32,16 +32,16 @@
     /** Every third message meets a fault in whoever takes it up. */
     private final class Faulty implements Recovery.Steps {
         @Override
-        public void tell(Held held) {
+        public void tell(PendingMessage held) {
             takeUp(held);
         }
 
         @Override
-        public void resume(Held held, long leftMs) {
+        public void resume(PendingMessage held, long leftMs) {
             takeUp(held);
         }
 
-        private void takeUp(Held held) {
+        private void takeUp(PendingMessage held) {
             takenUp.add(held.number);
             if (held.number % 3 == 0) {
                 throw new IllegalStateException("a fault over message " + held.number);
@@ -61,10 +61,10 @@
     /** Guards against a fault over one message after which a restart takes up nothing more, and is never ready. */
     @Test
     void aFaultOverOneMessageDoesNotEndARecovery() throws Exception {
-        List<Held> held = new ArrayList<>();
+        List<PendingMessage> held = new ArrayList<>();
         for (long number = 0; number < MANY; number++) {
-            held.add(new Held(number, "id-" + number, "once", "desk", Optional.empty(), 7, NOW_MS + (number % 2 == 0 ? -1 : 9000),
-                    new byte[0], Claim.PLATFORM));
+            held.add(new PendingMessage(number, "id-" + number, "once", "desk", Optional.empty(), 7,
+                    NOW_MS + (number % 2 == 0 ? -1 : 9000), new byte[0], AnswerRecipient.PLATFORM));
         }
         loop.submit(() -> {
             Recovery recovery = new Recovery(loop, () -> NOW_MS, held, message -> false, new Faulty());
--- a/src/test/java/slipfield/core/SenderPortsTest.java
+++ b/src/test/java/slipfield/core/SenderPortsTest.java
@@ -28,20 +28,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import slipfield.config.Config;
-import slipfield.journal.Claim;
-import slipfield.journal.Held;
-import slipfield.journal.LifeClock;
-import slipfield.journal.Owed;
+import slipfield.journal.AnswerRecipient;
+import slipfield.journal.PendingMessage;
+import slipfield.journal.ProcessClock;
+import slipfield.journal.PendingAnswer;
 import slipfield.policy.DeliveryPolicy;
 import slipfield.standin.Stub;
 import slipfield.trace.Trace;
 
 /** The core among parts in memory: what its ports promise to fronts, transports, directories and outcomes. */
 class SenderPortsTest {
-    private static final Claim ASKS = new Claim("queue", "desk-1", true, true);
+    private static final AnswerRecipient ASKS = new AnswerRecipient("queue", "desk-1", true, true);
     private static final long WAIT_MS = 600;
     private static final long LONG_TURN_MS = 60;
-    private static final Claim DROPS = new Claim("queue", "desk-2", true, false);
+    private static final AnswerRecipient DROPS = new AnswerRecipient("queue", "desk-2", true, false);
 
     @TempDir
     Path folder;
@@ -61,7 +61,7 @@
         private Transport.Ends ends;
         private Desk desk;
 
-        private record Out(Held held, int number, long startedNanos, Transport.Ends ends)
+        private record Out(PendingMessage held, int number, long startedNanos, Transport.Ends ends)
                 implements Transport.Attempt {
             @Override
             public void cancel() {
@@ -93,7 +93,7 @@
                 }
 
                 @Override
-                public Attempt attempt(Held held, int number, long endpoint, DeliveryPolicy.AttemptTiming within,
+                public Attempt attempt(PendingMessage held, int number, long endpoint, DeliveryPolicy.AttemptTiming within,
                         long decidedNanos) {
                     Out attempt = new Out(held, number, System.nanoTime(), ends);
                     out.add(attempt);
@@ -107,20 +107,20 @@
         }
 
         @Override
-        public Map<String, Outcome> outcomes(EventLoop loop, Consumer<Owed> heard) {
+        public Map<String, Outcome> outcomes(EventLoop loop, Consumer<PendingAnswer> heard) {
             Map<String, Outcome> all = new LinkedHashMap<>();
             for (String name : List.of("platform", "queue")) {
                 all.put(name, new Outcome() {
                     private int kept;
 
                     @Override
-                    public void owe(Owed answer) {
+                    public void owe(PendingAnswer answer) {
                         if (!hearing.contains(name)) {
                             kept++;
                             return;
                         }
-                        told.add(answer.held().id + " " + name + answer.claim().peer() + " "
-                                + answer.held().owed.orElseThrow().end());
+                        told.add(answer.message().id + " " + name + answer.recipient().peer() + " "
+                                + answer.message().pendingNotice.orElseThrow().answer());
                         heard.accept(answer);
                     }
 
@@ -194,7 +194,7 @@
                 """);
         Config config = Config.read(Map.of("GW_CONFIG", file.toString(), "GW_STATE",
                 folder.resolve("state").toString()));
-        sender = new Sender(config, world, 100, 1000, LifeClock.system());
+        sender = new Sender(config, world, 100, 1000, ProcessClock.system());
         sender.start();
         Stub.await("it is ready", () -> on(() -> world.desk.ready()));
     }
@@ -215,7 +215,7 @@
     }
 
     /** A front's way to hand in: what is known of the id first, then the message itself. */
-    private String handIn(String id, String type, Claim claim) {
+    private String handIn(String id, String type, AnswerRecipient claim) {
         return on(() -> {
             Optional<Desk.Known> known = world.desk.before(id, claim);
             if (known.isPresent()) {
@@ -247,7 +247,7 @@
     @Test
     void whoAsksIsToldOfADeliveryOnceAndThePlatformIsNot() throws Exception {
         assertEquals("taken", handIn("one", "order", ASKS));
-        assertEquals("taken", handIn("two", "order", Claim.PLATFORM));
+        assertEquals("taken", handIn("two", "order", AnswerRecipient.PLATFORM));
         end(DeliveryPolicy.AttemptOutcome.DELIVERED);
         end(DeliveryPolicy.AttemptOutcome.DELIVERED);
         awaitTold("one queuedesk-1 DELIVERED");
@@ -262,7 +262,7 @@
      */
     @Test
     void aWaitThatIsToldDuringALongTurnHoldsForWhatThatTurnDecided() throws Exception {
-        assertEquals("taken", handIn("refused", "order", Claim.PLATFORM));
+        assertEquals("taken", handIn("refused", "order", AnswerRecipient.PLATFORM));
         Stub.await("its attempt", () -> world.out.size() == 1);
         World.Out refused = world.out.remove(0);
         AtomicLong toldNanos = new AtomicLong();
@@ -273,7 +273,7 @@
                 refused.ends().ended(refused, DeliveryPolicy.AttemptOutcome.FULL, false, WAIT_MS,
                         DeliveryPolicy.LimitReport.NOTHING);
             }, 0, TimeUnit.MILLISECONDS);
-            String taken = handIn("decided", "order", Claim.PLATFORM);
+            String taken = handIn("decided", "order", AnswerRecipient.PLATFORM);
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(LONG_TURN_MS));
             return taken;
         });
@@ -324,7 +324,7 @@
 
     @Test
     void theSameIdByTwoFrontsIsOneMessageAndEachIsToldOnce() throws Exception {
-        assertEquals("taken", handIn("one", "once", Claim.PLATFORM));
+        assertEquals("taken", handIn("one", "once", AnswerRecipient.PLATFORM));
         assertEquals("HELD", handIn("one", "once", ASKS));
         assertEquals("HELD", handIn("one", "once", ASKS));
         end(DeliveryPolicy.AttemptOutcome.ERROR);
@@ -346,7 +346,7 @@
     @Test
     void whatASecondFrontWasToldIsHeldIsNotWithdrawnWhenTheFirstOneGoes() throws Exception {
         String known = on(() -> {
-            Held held = world.desk.take(new Desk.Submission("one", "once", "acme", Optional.empty(), 7, 20_000,
+            PendingMessage held = world.desk.take(new Desk.Submission("one", "once", "acme", Optional.empty(), 7, 20_000,
                     new byte[] {1}, List.of(DROPS))).held().orElseThrow();
             world.desk.written();
             String second = world.desk.before("one", ASKS).orElseThrow().name();
@@ -381,7 +381,7 @@
 
     @Test
     void whoHeardBeforeTheEndOfTheProcessIsNotToldAgainWhenAnotherIs() throws Exception {
-        assertEquals("taken", handIn("one", "once", Claim.PLATFORM));
+        assertEquals("taken", handIn("one", "once", AnswerRecipient.PLATFORM));
         assertEquals("HELD", handIn("one", "once", ASKS));
         world.hearing.remove("queue");
         end(DeliveryPolicy.AttemptOutcome.ERROR);
--- a/src/test/java/slipfield/daemon/AmqpBurstTest.java
+++ b/src/test/java/slipfield/daemon/AmqpBurstTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import slipfield.journal.Journal;
-import slipfield.journal.LifeClock;
+import slipfield.journal.ProcessClock;
 import slipfield.standin.TrialWorld;
 
 /**
@@ -233,8 +233,9 @@
             connections.forEach(Connection::abort);
             world.daemon.kill();
             world.daemon = null;
-            Journal journal = new Journal(folder.resolve("state"), 12_000_000, 6, LifeClock.system().mark(), FileChannel::open);
-            assertEquals(List.of(), journal.held().stream().filter(h -> !h.over).map(h -> h.id).toList());
+            Journal journal = new Journal(folder.resolve("state"), 12_000_000, 6, ProcessClock.system().reference(),
+                    FileChannel::open);
+            assertEquals(List.of(), journal.pendingMessages().stream().filter(h -> !h.finished).map(h -> h.id).toList());
             journal.close();
         } finally {
             over = true;
--- a/src/test/java/slipfield/daemon/SenderTest.java
+++ b/src/test/java/slipfield/daemon/SenderTest.java
@@ -34,9 +34,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import slipfield.config.Config;
-import slipfield.journal.Held;
+import slipfield.journal.PendingMessage;
 import slipfield.journal.Journal;
-import slipfield.journal.LifeClock;
+import slipfield.journal.ProcessClock;
 import slipfield.policy.DeliveryPolicy;
 import slipfield.standin.Stub;
 
@@ -145,7 +145,7 @@
     }
 
     private void start(long closingMs) throws Exception {
-        sender = new Daemon(config(), Daemon.TAKING_MS, closingMs, LifeClock.system());
+        sender = new Daemon(config(), Daemon.TAKING_MS, closingMs, ProcessClock.system());
         address = sender.start();
     }
 
@@ -184,12 +184,12 @@
     }
 
     /** What the journal holds, read from a copy. */
-    private List<Held> journalled() {
-        return journalled(journal -> List.copyOf(journal.held()));
+    private List<PendingMessage> journalled() {
+        return journalled(journal -> List.copyOf(journal.pendingMessages()));
     }
 
     private Map<String, Journal.Health> journalledHealth() {
-        return journalled(Journal::health);
+        return journalled(Journal::endpointHealth);
     }
 
     private <T> T journalled(Function<Journal, T> of) {
@@ -206,17 +206,17 @@
     }
 
     /** Leaves a journal as an earlier life would have: one message with one attempt, out since then. */
-    private Held earlierLife(String type, long attemptAgoMs, long leftMs, boolean notice) throws Exception {
+    private PendingMessage earlierLife(String type, long attemptAgoMs, long leftMs, boolean notice) throws Exception {
         try (Journal journal = new Journal(folder.resolve("state"), 3_000_000, 12)) {
             long wall = System.currentTimeMillis();
-            Held held = new Held(journal.nextNumber(), "old", type, "acme", Optional.of("key-old"), 7,
+            PendingMessage held = new PendingMessage(journal.nextNumber(), "old", type, "acme", Optional.of("key-old"), 7,
                     wall + leftMs, "hello".getBytes(StandardCharsets.ISO_8859_1));
-            journal.taken(held);
+            journal.recordAccepted(held);
             if (attemptAgoMs > 0) {
-                journal.attempt(held, new Held.Attempt("s-0", wall - attemptAgoMs));
+                journal.recordAttempt(held, new PendingMessage.Attempt("s-0", wall - attemptAgoMs));
             }
             if (notice) {
-                journal.owed(held, new Held.Notice(Held.End.REFUSED, 700));
+                journal.recordAnswer(held, new PendingMessage.Notice(PendingMessage.FinalAnswer.REFUSED, 700));
             }
             return held;
         }
@@ -227,11 +227,11 @@
         try (Journal journal = new Journal(folder.resolve("state"), 3_000_000, 12)) {
             long wall = System.currentTimeMillis();
             for (int i = 0; i < many; i++) {
-                journal.taken(new Held(journal.nextNumber(), "old-" + i, "order", "acme", Optional.of("key-" + i), 7,
-                        wall + 15_000, new byte[0]));
+                journal.recordAccepted(new PendingMessage(journal.nextNumber(), "old-" + i, "order", "acme",
+                        Optional.of("key-" + i), 7, wall + 15_000, new byte[0]));
             }
             for (Map.Entry<String, DeliveryPolicy.State> known : states.entrySet()) {
-                journal.health(known.getKey(), new Journal.Health(known.getValue(), wall, 0));
+                journal.recordHealth(known.getKey(), new Journal.Health(known.getValue(), wall, 0));
             }
         }
     }
@@ -464,7 +464,7 @@
 
     @Test
     void nothingIsTakenOrGivenUpBeforeAListIsKnown() throws Exception {
-        Held old = earlierLife("order", 1000, 20_000, false);
+        PendingMessage old = earlierLife("order", 1000, 20_000, false);
         known = false;
         agentUp = false;
         start();
@@ -577,17 +577,17 @@
     /** The users' term: it is given up with no call only where its client's own time is over, not the sender's reserve of it. */
     @Test
     void whatWasNeverTriedIsTriedInItsReserve() throws Exception {
-        try (Journal journal = earlier(LifeClock.system().mark())) {
+        try (Journal journal = earlier(ProcessClock.system().reference())) {
             long wall = System.currentTimeMillis();
             for (int reserveMs : new int[] {600_000, 0}) {
-                Held held = order(journal, "order", wall - 1000);
+                PendingMessage held = order(journal, "order", wall - 1000);
                 held.reserveMs = reserveMs;
-                journal.taken(held);
+                journal.recordAccepted(held);
             }
-            Held tried = order(journal, "order", wall - 1000);
+            PendingMessage tried = order(journal, "order", wall - 1000);
             tried.reserveMs = 600_000;
-            journal.taken(tried);
-            journal.attempt(tried, new Held.Attempt("s-0", wall - 5000));
+            journal.recordAccepted(tried);
+            journal.recordAttempt(tried, new PendingMessage.Attempt("s-0", wall - 5000));
         }
         start();
         awaitNothingHeld();
@@ -600,12 +600,12 @@
     /** Its class, its tenant or its destination is not there any more: each message held has one end all the same. */
     @Test
     void settingsThatChangedBetweenTwoLivesEndEachMessageOnce() throws Exception {
-        try (Journal journal = earlier(LifeClock.system().mark())) {
+        try (Journal journal = earlier(ProcessClock.system().reference())) {
             long wall = System.currentTimeMillis();
             for (String[] now : new String[][] {{"class", "gone", "acme", "7", "20000"}, {"tenant", "order", "renamed", "7", "20000"},
                     {"dest", "order", "acme", "99", "3000"}}) {
-                journal.taken(new Held(journal.nextNumber(), now[0], now[1], now[2], Optional.of("key-" + now[0]),
-                        Long.parseLong(now[3]), wall + Long.parseLong(now[4]), new byte[0]));
+                journal.recordAccepted(new PendingMessage(journal.nextNumber(), now[0], now[1], now[2],
+                        Optional.of("key-" + now[0]), Long.parseLong(now[3]), wall + Long.parseLong(now[4]), new byte[0]));
             }
         }
         start();
@@ -956,13 +956,13 @@
     // ---- recovery ----
 
     /** Leaves a journal whose clock read this, with room for as much as a test likes. */
-    private Journal earlier(LifeClock.Mark clock) throws IOException {
+    private Journal earlier(ProcessClock.Reference clock) throws IOException {
         return new Journal(folder.resolve("state"), 40_000_000, 12, clock, FileChannel::open);
     }
 
-    private static Held order(Journal journal, String type, long deadlineMs) {
+    private static PendingMessage order(Journal journal, String type, long deadlineMs) {
         long number = journal.nextNumber();
-        return new Held(number, "old-" + number, type, "acme", Optional.of("key-" + number), 7, deadlineMs,
+        return new PendingMessage(number, "old-" + number, type, "acme", Optional.of("key-" + number), 7, deadlineMs,
                 "hello".getBytes(StandardCharsets.ISO_8859_1));
     }
 
@@ -976,12 +976,12 @@
 
     @Test
     void overdueMessagesAreEndedBeforeTheFirstCall() throws Exception {
-        LifeClock clock = LifeClock.system();
+        ProcessClock clock = ProcessClock.system();
         List<String> overdue = new ArrayList<>();
-        try (Journal journal = earlier(clock.mark())) {
+        try (Journal journal = earlier(clock.reference())) {
             for (int i = 0; i < 5000; i++) {
-                Held held = order(journal, "order", clock.wallMs() + (i % 5 < 2 ? -1000 - i : 600_000));
-                journal.taken(held);
+                PendingMessage held = order(journal, "order", clock.wallMs() + (i % 5 < 2 ? -1000 - i : 600_000));
+                journal.recordAccepted(held);
                 if (i % 5 < 2) {
                     overdue.add(held.id);
                 }
@@ -1011,25 +1011,26 @@
     }
 
     private Recorded recorded() throws Exception {
-        LifeClock clock = LifeClock.system();
+        ProcessClock clock = ProcessClock.system();
         List<Long> ends = new ArrayList<>();
-        try (Journal journal = earlier(clock.mark())) {
+        try (Journal journal = earlier(clock.reference())) {
             for (int i = 0; i < 120; i++) {
-                Held held = order(journal, i % 2 == 0 ? "order" : "once", clock.wallMs() + 600_000);
-                journal.taken(held);
+                PendingMessage held = order(journal, i % 2 == 0 ? "order" : "once", clock.wallMs() + 600_000);
+                journal.recordAccepted(held);
                 ends.add(journal.size());
                 if (i % 3 > 0) {
-                    journal.attempt(held, new Held.Attempt("s-" + i % 2, clock.wallMs()));
+                    journal.recordAttempt(held, new PendingMessage.Attempt("s-" + i % 2, clock.wallMs()));
                     ends.add(journal.size());
                 }
                 if (i % 9 == 1) {
-                    journal.neverRan(held, 0);
+                    journal.recordNeverRan(held, 0);
                 }
                 if (i % 9 == 2) {
-                    journal.owed(held, new Held.Notice(i % 2 == 0 ? Held.End.REFUSED : Held.End.FAILED, 0));
+                    journal.recordAnswer(held, new PendingMessage.Notice(i % 2 == 0
+                            ? PendingMessage.FinalAnswer.REFUSED : PendingMessage.FinalAnswer.FAILED, 0));
                 }
                 if (i % 9 == 4) {
-                    journal.ended(held);
+                    journal.recordCompleted(held);
                 }
                 ends.add(journal.size());
             }
@@ -1038,7 +1039,7 @@
     }
 
     /** Leaves the journal cut at the end of a record or within the next one; returns what it holds. */
-    private List<Held> cut(Recorded recorded, Random random, boolean atEnd) throws Exception {
+    private List<PendingMessage> cut(Recorded recorded, Random random, boolean atEnd) throws Exception {
         long boundary = recorded.ends.get(random.nextInt(recorded.ends.size()));
         int cut = (int) (atEnd ? boundary : Math.min(recorded.whole.length, boundary + 1 + random.nextInt(50)));
         Files.write(folder.resolve("state/journal"), Arrays.copyOf(recorded.whole, cut));
@@ -1048,10 +1049,10 @@
     }
 
     /** None runs against its class, none ends twice; those that may be sent are sent once. */
-    private void assertOneEndEach(List<Held> held, String where) {
-        for (Held h : held) {
+    private void assertOneEndEach(List<PendingMessage> held, String where) {
+        for (PendingMessage h : held) {
             boolean mayHaveRun = h.attempts.stream().anyMatch(a -> !a.neverRan);
-            long expected = h.owed.isPresent() || h.messageClass.equals("once") && mayHaveRun ? 0 : 1;
+            long expected = h.pendingNotice.isPresent() || h.messageClass.equals("once") && mayHaveRun ? 0 : 1;
             assertEquals(expected, callsOf(h.id), "calls of " + h.id + where);
             assertEquals(1 - expected, noticesOf(h.id), "notices of " + h.id + where);
         }
@@ -1064,7 +1065,7 @@
         Recorded recorded = recorded();
         Random random = new Random(3);
         for (int sample = 0; sample < 24; sample++) {
-            List<Held> held = cut(recorded, random, sample % 2 == 0);
+            List<PendingMessage> held = cut(recorded, random, sample % 2 == 0);
             start();
             awaitNothingHeld();
             sender.kill();
@@ -1080,7 +1081,7 @@
         config();
         Random random = new Random(7);
         for (int sample = 0; sample < 4; sample++) {
-            List<Held> held = cut(recorded, random, sample % 2 == 0);
+            List<PendingMessage> held = cut(recorded, random, sample % 2 == 0);
             if (sample > 1) {
                 // No answer: its calls are out when it is killed.
                 script(Stub.silent());
@@ -1092,7 +1093,7 @@
             Process process = process();
             awaitNothingHeld();
             process.destroyForcibly().waitFor();
-            for (Held h : held) {
+            for (PendingMessage h : held) {
                 assertTrue(callsOf(h.id) + noticesOf(h.id) >= 1, h.id + " has its end, sample " + sample);
                 assertTrue(!h.messageClass.equals("once") || callsOf(h.id) <= 1, h.id + " must not run twice");
             }
@@ -1104,13 +1105,13 @@
 
     @Test
     void twoKillsWithinTheRecoveryLoseNothing() throws Exception {
-        LifeClock clock = LifeClock.system();
-        List<Held> all = new ArrayList<>();
-        try (Journal journal = earlier(clock.mark())) {
+        ProcessClock clock = ProcessClock.system();
+        List<PendingMessage> all = new ArrayList<>();
+        try (Journal journal = earlier(clock.reference())) {
             for (int i = 0; i < 300; i++) {
-                Held held = order(journal, i % 2 == 0 ? "order" : "once",
+                PendingMessage held = order(journal, i % 2 == 0 ? "order" : "once",
                         clock.wallMs() + (i % 10 == 0 ? -500 : 600_000));
-                journal.taken(held);
+                journal.recordAccepted(held);
                 all.add(held);
             }
         }
@@ -1120,7 +1121,7 @@
         Stub.await("it has begun to send", () -> !calls().isEmpty());
         killAndStart();
         awaitNothingHeld();
-        for (Held h : all) {
+        for (PendingMessage h : all) {
             long notices = noticesOf(h.id);
             long calls = callsOf(h.id);
             assertTrue(calls + notices >= 1, h.id + " has an end");
@@ -1133,14 +1134,14 @@
     @Test
     void aClockThatIsSetBackOpensNoWindowAgain() throws Exception {
         long wall = System.currentTimeMillis();
-        try (Journal journal = earlier(new LifeClock.Mark(wall, 1000, 9))) {
-            Held late = order(journal, "order", wall + 60_000);
-            journal.taken(late);
-            journal.attempt(late, new Held.Attempt("s-0", wall));
-            journal.taken(order(journal, "order", wall + 24_000));
+        try (Journal journal = earlier(new ProcessClock.Reference(wall, 1000, 9))) {
+            PendingMessage late = order(journal, "order", wall + 60_000);
+            journal.recordAccepted(late);
+            journal.recordAttempt(late, new PendingMessage.Attempt("s-0", wall));
+            journal.recordAccepted(order(journal, "order", wall + 24_000));
         }
         sender = new Daemon(config(), Daemon.TAKING_MS, Daemon.CLOSING_MS,
-                new LifeClock(wall - 300_000 + 25_000, 26_000, 9));
+                new ProcessClock(wall - 300_000 + 25_000, 26_000, 9));
         address = sender.start();
         Stub.await("both ends", () -> notices.size() == 2);
         assertEquals(List.of(), calls(), "one is past its window, the other past its time");
@@ -1209,8 +1210,8 @@
         script(Stub.status(503, ""));
         start();
         handIn("one", "order");
-        Stub.await("a pace", () -> !journalled(Journal::paces).isEmpty());
-        DeliveryPolicy.SendRate pace = journalled(Journal::paces).get(new Journal.PaceOf(7, ""));
+        Stub.await("a pace", () -> !journalled(Journal::sendRates).isEmpty());
+        DeliveryPolicy.SendRate pace = journalled(Journal::sendRates).get(new Journal.SendRateKey(7, ""));
         assertTrue(pace.perMs() > 0 && pace.perMs() < Double.POSITIVE_INFINITY, pace.toString());
     }
 
--- a/src/test/java/slipfield/front/amqp/PublicationsTest.java
+++ b/src/test/java/slipfield/front/amqp/PublicationsTest.java
@@ -17,17 +17,17 @@
 import slipfield.amqp.codec.ReplyCode;
 import slipfield.amqp.decide.RoutingTable;
 import slipfield.core.Desk;
-import slipfield.journal.Claim;
-import slipfield.journal.Held;
-import slipfield.journal.Owed;
+import slipfield.journal.AnswerRecipient;
+import slipfield.journal.PendingMessage;
+import slipfield.journal.PendingAnswer;
 
 /** What publishers hear of what the desk says, one publication at a time; no connection and no sender. */
 class PublicationsTest {
     private final List<String> told = new ArrayList<>();
     private final List<String> left = new ArrayList<>();
-    private final List<Owed> heard = new ArrayList<>();
+    private final List<PendingAnswer> heard = new ArrayList<>();
     private final Map<String, Desk.Known> known = new HashMap<>();
-    private final List<Held> taken = new ArrayList<>();
+    private final List<PendingMessage> taken = new ArrayList<>();
     private final List<String> answered = new ArrayList<>();
     private boolean writes = true;
     private long waitMs = -1;
@@ -90,7 +90,7 @@
         }
 
         @Override
-        public Optional<Known> before(String id, Claim claim) {
+        public Optional<Known> before(String id, AnswerRecipient claim) {
             return Optional.ofNullable(known.get(id));
         }
 
@@ -104,8 +104,8 @@
             if (waitMs >= 0) {
                 return Taking.refused("no room", waitMs);
             }
-            Held held = new Held(taken.size(), s.id(), s.messageClass(), s.tenant(), s.key(), s.destination(), 0, s.body(),
-                    s.claims().get(0));
+            PendingMessage held = new PendingMessage(taken.size(), s.id(), s.messageClass(), s.tenant(), s.key(), s.destination(),
+                    0, s.body(), s.claims().get(0));
             taken.add(held);
             known.put(s.id(), Known.HELD);
             return Taking.taken(held);
@@ -117,7 +117,7 @@
         }
 
         @Override
-        public void answered(Held held, boolean wasHeard) {
+        public void answered(PendingMessage held, boolean wasHeard) {
             answered.add(held.id + " " + wasHeard);
         }
     }
@@ -131,10 +131,10 @@
                 Properties.NONE.with(Properties.Property.MESSAGE_ID, id), new byte[0]));
     }
 
-    private void owe(int number, Held.End end, double wait) {
-        Held held = taken.get(number);
-        held.owed = Optional.of(new Held.Notice(end, wait));
-        front.owe(new Owed(held, held.claims.get(0)));
+    private void owe(int number, PendingMessage.FinalAnswer end, double wait) {
+        PendingMessage held = taken.get(number);
+        held.pendingNotice = Optional.of(new PendingMessage.Notice(end, wait));
+        front.owe(new PendingAnswer(held, held.recipients.get(0)));
         front.flush();
     }
 
@@ -153,9 +153,9 @@
         front.turned();
         assertEquals(List.of(), told());
         assertEquals(List.of("m1 true", "m2 true", "m3 true"), answered);
-        owe(0, Held.End.DELIVERED, 0);
-        owe(1, Held.End.REFUSED, 250.4);
-        owe(2, Held.End.FAILED, 0);
+        owe(0, PendingMessage.FinalAnswer.DELIVERED, 0);
+        owe(1, PendingMessage.FinalAnswer.REFUSED, 250.4);
+        owe(2, PendingMessage.FinalAnswer.FAILED, 0);
         assertEquals(List.of("a1 ack", "a flush", "a2 506 refused 250", "a2 nack", "a flush", "a3 541 failed", "a3 nack",
                 "a flush"), told());
         assertEquals(3, heard.size());
@@ -191,10 +191,10 @@
         publish(b, 1, "m1");
         front.turned();
         assertEquals(1, taken.size());
-        owe(0, Held.End.DELIVERED, 0);
+        owe(0, PendingMessage.FinalAnswer.DELIVERED, 0);
         assertEquals(List.of("a1 ack", "a2 ack", "a flush"), told());
-        Held held = taken.get(0);
-        front.owe(new Owed(held, new Claim(Publications.NAME, "b", true, false)));
+        PendingMessage held = taken.get(0);
+        front.owe(new PendingAnswer(held, new AnswerRecipient(Publications.NAME, "b", true, false)));
         front.flush();
         assertEquals(List.of("b1 ack", "b flush"), told());
         known.put("m1", Desk.Known.DELIVERED);
@@ -211,7 +211,7 @@
         front.left(a);
         assertEquals(List.of("a"), left);
         assertEquals(List.of("m1 true"), answered, "it was taken, and is delivered all the same");
-        owe(0, Held.End.DELIVERED, 0);
+        owe(0, PendingMessage.FinalAnswer.DELIVERED, 0);
         assertEquals(List.of(), told());
         assertEquals(1, heard.size());
         front.left(new Channel("b"));
--- a/src/test/java/slipfield/front/http/IntakeTest.java
+++ b/src/test/java/slipfield/front/http/IntakeTest.java
@@ -23,8 +23,8 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import slipfield.core.Desk;
-import slipfield.journal.Claim;
-import slipfield.journal.Held;
+import slipfield.journal.AnswerRecipient;
+import slipfield.journal.PendingMessage;
 import slipfield.standin.Stub;
 
 /** The bound on clients' connections, apart from the sender. */
@@ -70,7 +70,7 @@
         }
 
         @Override
-        public Optional<Known> before(String id, Claim claim) {
+        public Optional<Known> before(String id, AnswerRecipient claim) {
             return Optional.empty();
         }
 
@@ -89,7 +89,7 @@
         }
 
         @Override
-        public void answered(Held held, boolean heard) {
+        public void answered(PendingMessage held, boolean heard) {
         }
     }
 
@@ -192,7 +192,7 @@
         @Override
         public Taking take(Submission s) {
             steps.add("taken");
-            return Taking.taken(new Held(steps.size(), s.id(), s.messageClass(), "", s.key(), 7, 0, s.body()));
+            return Taking.taken(new PendingMessage(steps.size(), s.id(), s.messageClass(), "", s.key(), 7, 0, s.body()));
         }
 
         @Override
@@ -202,7 +202,7 @@
         }
 
         @Override
-        public void answered(Held held, boolean heard) {
+        public void answered(PendingMessage held, boolean heard) {
             steps.add(heard ? "told" : "not told");
         }
     }
@@ -250,7 +250,7 @@
     void whatIsKnownOfAnIdIsAskedWhenItsFirstOneIsWritten() throws Exception {
         TakingDesk desk = new TakingDesk(false) {
             @Override
-            public Optional<Known> before(String id, Claim claim) {
+            public Optional<Known> before(String id, AnswerRecipient claim) {
                 super.steps.add("asked");
                 return Optional.empty();
             }
