--- a/src/test/java/slipfield/journal/JournalTest.java
+++ b/src/test/java/slipfield/journal/JournalTest.java
@@ -36,30 +36,30 @@
         return new Journal(folder, DISK, 12);
     }
 
-    private static Held held(Journal journal, int body) {
+    private static PendingMessage held(Journal journal, int body) {
         long number = journal.nextNumber();
-        return new Held(number, "id-" + number, "order", "desk", Optional.of("key"), 7, 12_345, new byte[body]);
+        return new PendingMessage(number, "id-" + number, "order", "desk", Optional.of("key"), 7, 12_345, new byte[body]);
     }
 
     @Test
     void whatWasHeldComesBackWithAllThatHappenedToIt() throws Exception {
         try (Journal journal = open()) {
-            Held a = held(journal, 3);
-            Held b = held(journal, 3);
-            Held c = held(journal, 3);
-            for (Held h : List.of(a, b, c)) {
-                journal.taken(h);
+            PendingMessage a = held(journal, 3);
+            PendingMessage b = held(journal, 3);
+            PendingMessage c = held(journal, 3);
+            for (PendingMessage h : List.of(a, b, c)) {
+                journal.recordAccepted(h);
             }
-            journal.attempt(a, new Held.Attempt("s-1", 100));
-            journal.attempt(a, new Held.Attempt("s-2", 200));
-            journal.neverRan(a, 0);
-            journal.owed(b, new Held.Notice(Held.End.REFUSED, 500));
-            journal.ended(c);
+            journal.recordAttempt(a, new PendingMessage.Attempt("s-1", 100));
+            journal.recordAttempt(a, new PendingMessage.Attempt("s-2", 200));
+            journal.recordNeverRan(a, 0);
+            journal.recordAnswer(b, new PendingMessage.Notice(PendingMessage.FinalAnswer.REFUSED, 500));
+            journal.recordCompleted(c);
         }
         try (Journal journal = open()) {
-            List<Held> held = List.copyOf(journal.held());
+            List<PendingMessage> held = List.copyOf(journal.pendingMessages());
             assertEquals(2, held.size());
-            Held a = held.get(0);
+            PendingMessage a = held.get(0);
             assertEquals("id-0", a.id);
             assertEquals(Optional.of("key"), a.key);
             assertEquals(12_345, a.deadlineMs);
@@ -67,7 +67,8 @@
             assertEquals(List.of("s-1", "s-2"), a.attempts.stream().map(x -> x.endpoint).toList());
             assertEquals(List.of(true, false), a.attempts.stream().map(x -> x.neverRan).toList());
             assertEquals(200, a.attempts.get(1).sentAtMs);
-            assertEquals(Optional.of(new Held.Notice(Held.End.REFUSED, 500)), held.get(1).owed);
+            assertEquals(Optional.of(new PendingMessage.Notice(PendingMessage.FinalAnswer.REFUSED, 500)),
+                    held.get(1).pendingNotice);
             assertEquals(3, journal.nextNumber(), "numbers are not used again");
         }
     }
@@ -77,74 +78,76 @@
     void aJournalOfTheOlderFormIsReadAlsoWithATornTail() throws Exception {
         Files.copy(Path.of("src/test/resources/journal-before-claims.bin"), folder.resolve("journal"));
         for (int life = 0; life < 2; life++) {
-            try (Journal journal = new Journal(folder, DISK, 12, new LifeClock.Mark(1_790_000_001_000L, 6000, 9),
+            try (Journal journal = new Journal(folder, DISK, 12, new ProcessClock.Reference(1_790_000_001_000L, 6000, 9),
                     FileChannel::open)) {
-                List<Held> held = journal.held();
+                List<PendingMessage> held = journal.pendingMessages();
                 assertEquals(List.of("one", "two"), held.stream().map(h -> h.id).toList());
                 assertEquals(1_790_000_024_000L, held.get(0).deadlineMs);
                 assertEquals(List.of(true, false), held.get(0).attempts.stream().map(a -> a.neverRan).toList());
-                assertEquals(Optional.of(new Held.Notice(Held.End.REFUSED, 500)), held.get(1).owed);
-                held.forEach(h -> assertEquals(List.of(Claim.PLATFORM), h.claims));
-                assertEquals(Map.of("three", true), journal.over());
-                assertEquals(DeliveryPolicy.State.DOWN, journal.health().get("s-1").state());
-                assertEquals(0.05, journal.paces().get(new Journal.PaceOf(7, "")).perMs());
+                assertEquals(Optional.of(new PendingMessage.Notice(PendingMessage.FinalAnswer.REFUSED, 500)),
+                        held.get(1).pendingNotice);
+                held.forEach(h -> assertEquals(List.of(AnswerRecipient.PLATFORM), h.recipients));
+                assertEquals(Map.of("three", true), journal.completedIds());
+                assertEquals(DeliveryPolicy.State.DOWN, journal.endpointHealth().get("s-1").state());
+                assertEquals(0.05, journal.sendRates().get(new Journal.SendRateKey(7, "")).perMs());
             }
         }
     }
 
     @Test
     void claimsOutlastLivesAndCompactions() throws Exception {
-        Claim asks = new Claim("queue", "desk-1", true, true);
-        Claim drops = new Claim("queue", "desk-2", false, false);
+        AnswerRecipient asks = new AnswerRecipient("queue", "desk-1", true, true);
+        AnswerRecipient drops = new AnswerRecipient("queue", "desk-2", false, false);
         try (Journal journal = open()) {
-            Held only = new Held(journal.nextNumber(), "only", "order", "desk", Optional.empty(), 7, 12_345,
+            PendingMessage only = new PendingMessage(journal.nextNumber(), "only", "order", "desk", Optional.empty(), 7, 12_345,
                     new byte[3], asks);
-            Held both = held(journal, 3);
-            Held none = held(journal, 3);
-            Held told = held(journal, 3);
-            for (Held h : List.of(only, both, none, told)) {
-                journal.taken(h);
+            PendingMessage both = held(journal, 3);
+            PendingMessage none = held(journal, 3);
+            PendingMessage told = held(journal, 3);
+            for (PendingMessage h : List.of(only, both, none, told)) {
+                journal.recordAccepted(h);
             }
-            journal.claimed(both, drops);
-            journal.heard(none, Claim.PLATFORM);
-            journal.claimed(told, asks);
-            journal.claimed(told, drops);
-            journal.owed(told, new Held.Notice(Held.End.DELIVERED, 0));
+            journal.recordRecipient(both, drops);
+            journal.recordAcknowledged(none, AnswerRecipient.PLATFORM);
+            journal.recordRecipient(told, asks);
+            journal.recordRecipient(told, drops);
+            journal.recordAnswer(told, new PendingMessage.Notice(PendingMessage.FinalAnswer.DELIVERED, 0));
             for (int i = 0; i < 20_000; i++) {
-                Held passing = held(journal, 100);
-                journal.taken(passing);
-                journal.ended(passing);
+                PendingMessage passing = held(journal, 100);
+                journal.recordAccepted(passing);
+                journal.recordCompleted(passing);
             }
         }
         for (int life = 0; life < 2; life++) {
             try (Journal journal = open()) {
-                List<Held> held = journal.held();
-                assertEquals(List.of(asks), held.get(0).claims);
-                assertEquals(List.of(Claim.PLATFORM, drops), held.get(1).claims);
-                assertEquals(List.of(), held.get(2).claims);
-                assertEquals(List.of(asks), held.get(3).claims, "the others hear of no delivery");
-                assertEquals(Optional.of(new Held.Notice(Held.End.DELIVERED, 0)), held.get(3).owed);
+                List<PendingMessage> held = journal.pendingMessages();
+                assertEquals(List.of(asks), held.get(0).recipients);
+                assertEquals(List.of(AnswerRecipient.PLATFORM, drops), held.get(1).recipients);
+                assertEquals(List.of(), held.get(2).recipients);
+                assertEquals(List.of(asks), held.get(3).recipients, "the others hear of no delivery");
+                assertEquals(Optional.of(new PendingMessage.Notice(PendingMessage.FinalAnswer.DELIVERED, 0)),
+                        held.get(3).pendingNotice);
             }
         }
     }
 
     @Test
     void aMessageIsOverWhenTheLastOfItsClaimantsHasHeard() throws Exception {
-        Claim asks = new Claim("queue", "desk-1", true, true);
+        AnswerRecipient asks = new AnswerRecipient("queue", "desk-1", true, true);
         try (Journal journal = open()) {
-            Held both = held(journal, 3);
-            journal.taken(both);
-            journal.claimed(both, asks);
-            journal.owed(both, new Held.Notice(Held.End.FAILED, 0));
-            journal.heard(both, Claim.PLATFORM);
+            PendingMessage both = held(journal, 3);
+            journal.recordAccepted(both);
+            journal.recordRecipient(both, asks);
+            journal.recordAnswer(both, new PendingMessage.Notice(PendingMessage.FinalAnswer.FAILED, 0));
+            journal.recordAcknowledged(both, AnswerRecipient.PLATFORM);
         }
         try (Journal journal = open()) {
-            assertEquals(List.of(asks), journal.held().get(0).claims);
-            journal.heard(journal.held().get(0), asks);
+            assertEquals(List.of(asks), journal.pendingMessages().get(0).recipients);
+            journal.recordAcknowledged(journal.pendingMessages().get(0), asks);
         }
         try (Journal journal = open()) {
-            assertEquals(List.of(), journal.held());
-            assertEquals(Map.of("id-0", false), journal.over());
+            assertEquals(List.of(), journal.pendingMessages());
+            assertEquals(Map.of("id-0", false), journal.completedIds());
         }
     }
 
@@ -154,28 +157,28 @@
         Journal.Health warming = new Journal.Health(DeliveryPolicy.State.WARMING, 200, 0.25);
         Journal.Health up = new Journal.Health(DeliveryPolicy.State.UP, 300, 0.25);
         try (Journal journal = open()) {
-            journal.health("s-1", down);
-            journal.health("s-2", down);
-            journal.health("s-1", warming);
-            journal.health("s-2", up);
-            Held held = held(journal, 1000);
-            journal.taken(held);
+            journal.recordHealth("s-1", down);
+            journal.recordHealth("s-2", down);
+            journal.recordHealth("s-1", warming);
+            journal.recordHealth("s-2", up);
+            PendingMessage held = held(journal, 1000);
+            journal.recordAccepted(held);
             for (long written = 0; written < 2 * DISK; written += 50) {
-                journal.health("s-3", down);
+                journal.recordHealth("s-3", down);
             }
             assertTrue(journal.size() < DISK);
         }
         try (Journal journal = open()) {
-            assertEquals(Map.of("s-1", warming, "s-3", down), journal.health());
-            assertEquals(1, journal.held().size());
+            assertEquals(Map.of("s-1", warming, "s-3", down), journal.endpointHealth());
+            assertEquals(1, journal.pendingMessages().size());
         }
     }
 
     @Test
     void aTornTailIsDroppedAndWrittenOver() throws Exception {
         try (Journal journal = open()) {
-            journal.taken(held(journal, 10));
-            journal.taken(held(journal, 10));
+            journal.recordAccepted(held(journal, 10));
+            journal.recordAccepted(held(journal, 10));
         }
         Path file = folder.resolve("journal");
         byte[] whole = Files.readAllBytes(file);
@@ -183,17 +186,17 @@
         for (int cut = whole.length - 1; cut > first; cut -= 7) {
             Files.write(file, Arrays.copyOf(whole, cut));
             try (Journal journal = open()) {
-                assertEquals(1, journal.held().size());
-                journal.taken(held(journal, 10));
+                assertEquals(1, journal.pendingMessages().size());
+                journal.recordAccepted(held(journal, 10));
             }
             try (Journal journal = open()) {
-                assertEquals(2, journal.held().size(), "what follows a torn tail must be found again");
+                assertEquals(2, journal.pendingMessages().size(), "what follows a torn tail must be found again");
             }
         }
         Files.write(file, whole);
         Files.write(file, new byte[700], StandardOpenOption.APPEND);
         try (Journal journal = open()) {
-            assertEquals(2, journal.held().size());
+            assertEquals(2, journal.pendingMessages().size());
         }
     }
 
@@ -214,17 +217,17 @@
     /** Bytes in a row are lost: what is behind them is found again, and what was held before may have run. */
     @Test
     void whatLiesBehindADamagedStretchIsFoundAndCountsAsMayHaveRun() throws Exception {
-        Held before;
-        Held behind;
+        PendingMessage before;
+        PendingMessage behind;
         long damagedFrom;
         try (Journal journal = open()) {
             before = held(journal, 20);
-            journal.taken(before);
+            journal.recordAccepted(before);
             damagedFrom = journal.size();
-            journal.attempt(before, new Held.Attempt("s-1", 5000));
-            journal.taken(held(journal, 20));
+            journal.recordAttempt(before, new PendingMessage.Attempt("s-1", 5000));
+            journal.recordAccepted(held(journal, 20));
             behind = held(journal, 20);
-            journal.taken(behind);
+            journal.recordAccepted(behind);
         }
         Path file = folder.resolve("journal");
         byte[] bytes = Files.readAllBytes(file);
@@ -233,7 +236,7 @@
         }
         Files.write(file, bytes);
         try (Journal journal = open()) {
-            List<Held> held = List.copyOf(journal.held());
+            List<PendingMessage> held = List.copyOf(journal.pendingMessages());
             assertEquals(before.id, held.get(0).id);
             assertEquals(1, held.get(0).attempts.size(), "its attempt can't be read, but one may have run");
             assertTrue(held.stream().anyMatch(h -> h.id.equals(behind.id)), "what lies behind is not lost");
@@ -245,26 +248,26 @@
     private byte[] recorded() throws IOException {
         try (Journal journal = open()) {
             for (int i = 0; i < 6; i++) {
-                Held h = held(journal, 3 + i);
-                journal.taken(h);
+                PendingMessage h = held(journal, 3 + i);
+                journal.recordAccepted(h);
                 if (i > 0) {
-                    journal.attempt(h, new Held.Attempt("s-1", 100));
+                    journal.recordAttempt(h, new PendingMessage.Attempt("s-1", 100));
                 }
                 if (i == 2) {
-                    journal.neverRan(h, 0);
+                    journal.recordNeverRan(h, 0);
                 }
                 if (i == 3) {
-                    journal.owed(h, new Held.Notice(Held.End.REFUSED, 500));
+                    journal.recordAnswer(h, new PendingMessage.Notice(PendingMessage.FinalAnswer.REFUSED, 500));
                 }
                 if (i == 4) {
-                    journal.ended(h);
+                    journal.recordCompleted(h);
                 }
                 if (i == 5) {
-                    journal.withdrawn(h);
+                    journal.recordWithdrawn(h);
                 }
             }
-            journal.health("s-1", new Journal.Health(DeliveryPolicy.State.DOWN, 100, 0.5));
-            journal.pace(new Journal.PaceOf(7, ""), new DeliveryPolicy.SendRate(0.5, 0));
+            journal.recordHealth("s-1", new Journal.Health(DeliveryPolicy.State.DOWN, 100, 0.5));
+            journal.recordSendRate(new Journal.SendRateKey(7, ""), new DeliveryPolicy.SendRate(0.5, 0));
         }
         return Files.readAllBytes(folder.resolve("journal"));
     }
@@ -273,37 +276,37 @@
         Files.write(folder.resolve("journal"), bytes);
         try (Journal journal = open()) {
             StringBuilder all = new StringBuilder();
-            for (Held h : journal.held()) {
+            for (PendingMessage h : journal.pendingMessages()) {
                 all.append(h.id).append(' ').append(h.deadlineMs).append(' ').append(h.body.length).append(' ');
                 h.attempts.forEach(a -> all.append(a.endpoint).append(a.neverRan).append(' '));
-                all.append(h.owed).append('\n');
+                all.append(h.pendingNotice).append('\n');
             }
-            return all.append(journal.health()).append(journal.paces()).append(journal.over()).toString();
+            return all.append(journal.endpointHealth()).append(journal.sendRates()).append(journal.completedIds()).toString();
         }
     }
 
     @Test
     void theFolderStaysUnderItsBoundAtEveryMomentAndLosesNothing() throws Exception {
         Random random = new Random(5);
-        Deque<Held> live = new ArrayDeque<>();
+        Deque<PendingMessage> live = new ArrayDeque<>();
         int refused = 0;
         int compactions = 0;
         try (Journal journal = open()) {
             for (int i = 0; i < 4000; i++) {
                 long before = journal.size();
-                Held h = held(journal, random.nextInt(4000));
+                PendingMessage h = held(journal, random.nextInt(4000));
                 try {
-                    journal.taken(h);
+                    journal.recordAccepted(h);
                     live.add(h);
-                    journal.attempt(h, new Held.Attempt("s-" + i, i));
-                    journal.neverRan(h, 0);
+                    journal.recordAttempt(h, new PendingMessage.Attempt("s-" + i, i));
+                    journal.recordNeverRan(h, 0);
                 } catch (IOException full) {
                     refused++;
                 }
                 if (random.nextInt(100) < 48 || live.size() > 60) {
-                    Held over = live.remove();
-                    journal.owed(over, new Held.Notice(Held.End.FAILED, 0));
-                    journal.ended(over);
+                    PendingMessage over = live.remove();
+                    journal.recordAnswer(over, new PendingMessage.Notice(PendingMessage.FinalAnswer.FAILED, 0));
+                    journal.recordCompleted(over);
                 }
                 compactions += journal.size() < before ? 1 : 0;
                 // A compaction begun now would stand beside the file with all that is live.
@@ -314,99 +317,99 @@
         assertTrue(refused > 0, "live bytes that leave no room refuse new messages");
         assertTrue(compactions > 10);
         try (Journal journal = open()) {
-            assertEquals(live.stream().map(h -> h.id).toList(), journal.held().stream().map(h -> h.id).toList());
+            assertEquals(live.stream().map(h -> h.id).toList(), journal.pendingMessages().stream().map(h -> h.id).toList());
         }
     }
 
     @Test
     void thereIsRoomForEveryLaterRecordOfWhatWasTaken() throws Exception {
         try (Journal journal = open()) {
-            Deque<Held> taken = new ArrayDeque<>();
+            Deque<PendingMessage> taken = new ArrayDeque<>();
             assertThrows(IOException.class, () -> {
                 while (true) {
-                    Held h = held(journal, 500);
-                    journal.taken(h);
+                    PendingMessage h = held(journal, 500);
+                    journal.recordAccepted(h);
                     taken.add(h);
                 }
             });
-            for (Held h : taken) {
+            for (PendingMessage h : taken) {
                 for (int i = 0; i < 12; i++) {
-                    journal.attempt(h, new Held.Attempt("s-5be2a07c5be2a07c", i));
-                    journal.neverRan(h, i);
+                    journal.recordAttempt(h, new PendingMessage.Attempt("s-5be2a07c5be2a07c", i));
+                    journal.recordNeverRan(h, i);
                 }
-                journal.owed(h, new Held.Notice(Held.End.REFUSED, 1));
+                journal.recordAnswer(h, new PendingMessage.Notice(PendingMessage.FinalAnswer.REFUSED, 1));
             }
-            for (Held h : taken) {
-                journal.ended(h);
+            for (PendingMessage h : taken) {
+                journal.recordCompleted(h);
             }
-            journal.taken(held(journal, 500));
+            journal.recordAccepted(held(journal, 500));
         }
     }
 
     private Journal open(long wallMs, long monoMs, long boot) throws IOException {
-        return new Journal(folder, DISK, 12, new LifeClock.Mark(wallMs, monoMs, boot), FileChannel::open);
+        return new Journal(folder, DISK, 12, new ProcessClock.Reference(wallMs, monoMs, boot), FileChannel::open);
     }
 
     /** Set back by five minutes, then on by ten: in the same boot, times keep their distance. */
     @Test
     void aClockThatIsSetBetweenTwoLivesMovesNoTime() throws Exception {
         try (Journal journal = open(1_000_000, 5000, 9)) {
-            Held h = new Held(journal.nextNumber(), "id", "order", "desk", Optional.of("key"), 7, 1_012_000,
+            PendingMessage h = new PendingMessage(journal.nextNumber(), "id", "order", "desk", Optional.of("key"), 7, 1_012_000,
                     new byte[1]);
-            journal.taken(h);
-            journal.attempt(h, new Held.Attempt("s-1", 1_001_000));
-            journal.health("s-1", new Journal.Health(DeliveryPolicy.State.DOWN, 1_002_000, 0));
+            journal.recordAccepted(h);
+            journal.recordAttempt(h, new PendingMessage.Attempt("s-1", 1_001_000));
+            journal.recordHealth("s-1", new Journal.Health(DeliveryPolicy.State.DOWN, 1_002_000, 0));
         }
         long back = -300_000;
         try (Journal journal = open(1_004_000 + back, 9000, 9)) {
-            Held h = journal.held().iterator().next();
+            PendingMessage h = journal.pendingMessages().iterator().next();
             assertEquals(1_012_000 + back, h.deadlineMs);
             assertEquals(1_001_000 + back, h.attempts.get(0).sentAtMs);
-            assertEquals(1_002_000 + back, journal.health().get("s-1").sinceMs());
-            journal.attempt(h, new Held.Attempt("s-2", 1_005_000 + back));
+            assertEquals(1_002_000 + back, journal.endpointHealth().get("s-1").sinceMs());
+            journal.recordAttempt(h, new PendingMessage.Attempt("s-2", 1_005_000 + back));
         }
         long on = 600_000;
         try (Journal journal = open(1_007_000 + on, 12_000, 9)) {
-            Held h = journal.held().iterator().next();
+            PendingMessage h = journal.pendingMessages().iterator().next();
             assertEquals(1_012_000 + on, h.deadlineMs, "each record by the life that wrote it");
             assertEquals(List.of(1_001_000 + on, 1_005_000 + on),
                     h.attempts.stream().map(x -> x.sentAtMs).toList());
         }
         try (Journal journal = open(2_000_000, 10, 8)) {
-            assertEquals(1_012_000, journal.held().iterator().next().deadlineMs, "another boot: the wall clock");
+            assertEquals(1_012_000, journal.pendingMessages().iterator().next().deadlineMs, "another boot: the wall clock");
         }
     }
 
     @Test
     void idsThatAreOverAndPacesOutlastLivesAndCompactionsWithinTheirPart() throws Exception {
         DeliveryPolicy.SendRate pace = new DeliveryPolicy.SendRate(0.25, 0.1);
-        Journal.PaceOf shared = new Journal.PaceOf(7, "");
+        Journal.SendRateKey shared = new Journal.SendRateKey(7, "");
         try (Journal journal = open()) {
-            journal.pace(shared, new DeliveryPolicy.SendRate(1, 0));
-            journal.pace(shared, pace);
-            journal.pace(new Journal.PaceOf(7, "s-1"), pace);
-            journal.pace(new Journal.PaceOf(7, "s-1"), new DeliveryPolicy.SendRate(Double.POSITIVE_INFINITY, 0));
+            journal.recordSendRate(shared, new DeliveryPolicy.SendRate(1, 0));
+            journal.recordSendRate(shared, pace);
+            journal.recordSendRate(new Journal.SendRateKey(7, "s-1"), pace);
+            journal.recordSendRate(new Journal.SendRateKey(7, "s-1"), new DeliveryPolicy.SendRate(Double.POSITIVE_INFINITY, 0));
             for (int i = 0; i < 3000; i++) {
-                Held h = held(journal, 100);
-                journal.taken(h);
+                PendingMessage h = held(journal, 100);
+                journal.recordAccepted(h);
                 if (i % 3 == 0) {
-                    journal.owed(h, new Held.Notice(Held.End.FAILED, 0));
+                    journal.recordAnswer(h, new PendingMessage.Notice(PendingMessage.FinalAnswer.FAILED, 0));
                 }
                 if (i % 3 == 2) {
-                    journal.withdrawn(h);
+                    journal.recordWithdrawn(h);
                 } else {
-                    journal.ended(h);
+                    journal.recordCompleted(h);
                 }
                 assertTrue(journal.size() < DISK);
             }
         }
         try (Journal journal = open()) {
-            assertEquals(Map.of(shared, pace), journal.paces());
-            assertEquals(Boolean.FALSE, journal.over().get("id-2997"));
-            assertEquals(Boolean.TRUE, journal.over().get("id-2998"));
-            assertEquals(null, journal.over().get("id-2999"), "its client never heard of it");
-            assertEquals(null, journal.over().get("id-0"), "only the newest are known");
-            assertTrue(journal.over().size() > 50);
+            assertEquals(Map.of(shared, pace), journal.sendRates());
+            assertEquals(Boolean.FALSE, journal.completedIds().get("id-2997"));
+            assertEquals(Boolean.TRUE, journal.completedIds().get("id-2998"));
+            assertEquals(null, journal.completedIds().get("id-2999"), "its client never heard of it");
+            assertEquals(null, journal.completedIds().get("id-0"), "only the newest are known");
+            assertTrue(journal.completedIds().size() > 50);
         }
     }
 
@@ -449,24 +452,24 @@
         for (int room = 0; room < 120; room += 7) {
             Files.deleteIfExists(folder.resolve("journal"));
             SmallDisk disk = new SmallDisk();
-            try (Journal journal = new Journal(folder, DISK, 12, new LifeClock.Mark(0, 0, 0), disk::open)) {
-                Held first = held(journal, 10);
-                journal.taken(first);
+            try (Journal journal = new Journal(folder, DISK, 12, new ProcessClock.Reference(0, 0, 0), disk::open)) {
+                PendingMessage first = held(journal, 10);
+                journal.recordAccepted(first);
                 disk.room = room;
-                Held second = held(journal, 200);
-                assertThrows(IOException.class, () -> journal.taken(second));
+                PendingMessage second = held(journal, 200);
+                assertThrows(IOException.class, () -> journal.recordAccepted(second));
                 assertThrows(IOException.class, () -> {
                     for (int i = 0; i < 10; i++) {
-                        journal.attempt(first, new Held.Attempt("s-1", 1));
+                        journal.recordAttempt(first, new PendingMessage.Attempt("s-1", 1));
                     }
                 });
                 disk.room = Long.MAX_VALUE;
-                journal.taken(held(journal, 10));
+                journal.recordAccepted(held(journal, 10));
             }
             try (Journal journal = open()) {
-                assertEquals(List.of("id-0", "id-2"), journal.held().stream().map(h -> h.id).toList(),
+                assertEquals(List.of("id-0", "id-2"), journal.pendingMessages().stream().map(h -> h.id).toList(),
                         "with room for " + room);
-                assertTrue(journal.held().stream().flatMap(h -> h.attempts.stream())
+                assertTrue(journal.pendingMessages().stream().flatMap(h -> h.attempts.stream())
                         .noneMatch(a -> a.endpoint.isEmpty()), "nothing counts as damaged, with room for " + room);
             }
         }
@@ -478,26 +481,26 @@
         for (int room = 0; room < 200; room += 13) {
             Files.deleteIfExists(folder.resolve("journal"));
             SmallDisk disk = new SmallDisk();
-            try (Journal journal = new Journal(folder, DISK, 12, new LifeClock.Mark(0, 0, 0), disk::open)) {
-                Held first = held(journal, 10);
-                journal.taken(first);
+            try (Journal journal = new Journal(folder, DISK, 12, new ProcessClock.Reference(0, 0, 0), disk::open)) {
+                PendingMessage first = held(journal, 10);
+                journal.recordAccepted(first);
                 long size = journal.size();
-                journal.begin();
-                Held second = held(journal, 200);
-                journal.taken(second);
-                journal.attempt(first, new Held.Attempt("s-1", 1));
+                journal.beginBatch();
+                PendingMessage second = held(journal, 200);
+                journal.recordAccepted(second);
+                journal.recordAttempt(first, new PendingMessage.Attempt("s-1", 1));
                 assertEquals(size, Files.size(folder.resolve("journal")), "nothing is written before the turn's end");
                 disk.room = room;
-                assertThrows(IOException.class, journal::flush);
+                assertThrows(IOException.class, journal::flushBatch);
                 assertEquals(size, Files.size(folder.resolve("journal")));
                 disk.room = Long.MAX_VALUE;
-                journal.withdrawn(second);
-                journal.neverRan(first, 0);
-                journal.attempt(first, new Held.Attempt("s-2", 2));
+                journal.recordWithdrawn(second);
+                journal.recordNeverRan(first, 0);
+                journal.recordAttempt(first, new PendingMessage.Attempt("s-2", 2));
             }
             try (Journal journal = open()) {
-                assertEquals(List.of("id-0"), journal.held().stream().map(h -> h.id).toList());
-                List<Held.Attempt> attempts = journal.held().get(0).attempts;
+                assertEquals(List.of("id-0"), journal.pendingMessages().stream().map(h -> h.id).toList());
+                List<PendingMessage.Attempt> attempts = journal.pendingMessages().get(0).attempts;
                 assertEquals(List.of("s-1", "s-2"), attempts.stream().map(a -> a.endpoint).toList());
                 assertEquals(List.of(true, false), attempts.stream().map(a -> a.neverRan).toList());
                 assertEquals(0, journal.replayed().lost());
@@ -513,20 +516,20 @@
             Files.deleteIfExists(folder.resolve("journal"));
             SmallDisk disk = new SmallDisk();
             List<String> recorded = new ArrayList<>();
-            try (Journal journal = new Journal(folder, DISK, 12, new LifeClock.Mark(0, 0, 0), disk::open)) {
-                journal.begin();
-                List<Held> taken = new ArrayList<>();
+            try (Journal journal = new Journal(folder, DISK, 12, new ProcessClock.Reference(0, 0, 0), disk::open)) {
+                journal.beginBatch();
+                List<PendingMessage> taken = new ArrayList<>();
                 for (int i = 0; i < 3; i++) {
                     taken.add(held(journal, 200));
-                    journal.taken(taken.get(i));
+                    journal.recordAccepted(taken.get(i));
                 }
                 disk.room = room;
                 disk.cuts = false;
-                assertThrows(IOException.class, journal::flush);
+                assertThrows(IOException.class, journal::flushBatch);
                 taken.stream().filter(journal::isRecorded).forEach(held -> recorded.add(held.id));
             }
             try (Journal journal = open()) {
-                assertEquals(recorded, journal.held().stream().map(h -> h.id).toList(), "with room for " + room);
+                assertEquals(recorded, journal.pendingMessages().stream().map(h -> h.id).toList(), "with room for " + room);
                 found += recorded.size();
             }
         }
@@ -538,24 +541,25 @@
     void aJournalThatItsOwnerRepairsIsNotWrittenAnewForEachRecord() throws Exception {
         SmallDisk disk = new SmallDisk();
         AtomicInteger opened = new AtomicInteger();
-        try (Journal journal = new Journal(folder, DISK, 12, new LifeClock.Mark(0, 0, 0), (path, options) -> {
+        try (Journal journal = new Journal(folder, DISK, 12, new ProcessClock.Reference(0, 0, 0), (path, options) -> {
             opened.incrementAndGet();
             return disk.open(path, options);
         })) {
-            journal.repairedByOwner();
-            Held first = held(journal, 10);
-            journal.taken(first);
+            journal.useExplicitRepair();
+            PendingMessage first = held(journal, 10);
+            journal.recordAccepted(first);
             disk.room = 0;
-            assertThrows(IOException.class, () -> journal.owed(first, new Held.Notice(Held.End.FAILED, 0)));
+            assertThrows(IOException.class,
+                    () -> journal.recordAnswer(first, new PendingMessage.Notice(PendingMessage.FinalAnswer.FAILED, 0)));
             int before = opened.get();
             for (int i = 0; i < 100; i++) {
-                assertThrows(IOException.class, () -> journal.taken(held(journal, 10)));
+                assertThrows(IOException.class, () -> journal.recordAccepted(held(journal, 10)));
             }
             assertEquals(before, opened.get());
             assertThrows(IOException.class, journal::repair);
             disk.room = Long.MAX_VALUE;
             journal.repair();
-            journal.taken(held(journal, 10));
+            journal.recordAccepted(held(journal, 10));
         }
     }
 
@@ -563,21 +567,21 @@
     @Test
     void theIdOfAnEndThatCompactsIsKnownInTheNextLife() throws Exception {
         SmallDisk disk = new SmallDisk();
-        try (Journal journal = new Journal(folder, DISK, 12, new LifeClock.Mark(0, 0, 0), disk::open)) {
-            Held first = held(journal, 10);
-            Held second = held(journal, 10);
-            journal.taken(first);
-            journal.taken(second);
-            journal.begin();
-            journal.attempt(first, new Held.Attempt("s-1", 1));
+        try (Journal journal = new Journal(folder, DISK, 12, new ProcessClock.Reference(0, 0, 0), disk::open)) {
+            PendingMessage first = held(journal, 10);
+            PendingMessage second = held(journal, 10);
+            journal.recordAccepted(first);
+            journal.recordAccepted(second);
+            journal.beginBatch();
+            journal.recordAttempt(first, new PendingMessage.Attempt("s-1", 1));
             disk.room = 0;
-            assertThrows(IOException.class, journal::flush);
+            assertThrows(IOException.class, journal::flushBatch);
             disk.room = Long.MAX_VALUE;
-            journal.ended(second);
+            journal.recordCompleted(second);
         }
         try (Journal journal = open()) {
-            assertEquals(List.of("id-0"), journal.held().stream().map(h -> h.id).toList());
-            assertEquals(Map.of("id-1", true), journal.over());
+            assertEquals(List.of("id-0"), journal.pendingMessages().stream().map(h -> h.id).toList());
+            assertEquals(Map.of("id-1", true), journal.completedIds());
         }
     }
 
@@ -589,21 +593,21 @@
         List<String> now = new ArrayList<>();
         try (Journal journal = open()) {
             Random random = new Random(11);
-            List<Held> live = new ArrayList<>();
+            List<PendingMessage> live = new ArrayList<>();
             for (int i = 0; i < 400; i++) {
                 ends.add(journal.size());
                 states.add(List.copyOf(now));
                 int step = random.nextInt(live.isEmpty() ? 1 : 4);
-                Held h = step == 0 ? held(journal, random.nextInt(40)) : live.get(random.nextInt(live.size()));
+                PendingMessage h = step == 0 ? held(journal, random.nextInt(40)) : live.get(random.nextInt(live.size()));
                 if (step == 0) {
-                    journal.taken(h);
+                    journal.recordAccepted(h);
                     live.add(h);
                     now.add(h.id + " ");
                 } else if (step < 3 && h.attempts.size() < 12) {
-                    journal.attempt(h, new Held.Attempt("s-1", i));
+                    journal.recordAttempt(h, new PendingMessage.Attempt("s-1", i));
                     now.set(live.indexOf(h), now.get(live.indexOf(h)) + "a");
                 } else {
-                    journal.ended(h);
+                    journal.recordCompleted(h);
                     now.remove(live.indexOf(h));
                     live.remove(h);
                 }
@@ -620,7 +624,7 @@
             }
             Files.write(file, Arrays.copyOf(whole, cut));
             try (Journal journal = open()) {
-                assertEquals(states.get(at), journal.held().stream()
+                assertEquals(states.get(at), journal.pendingMessages().stream()
                         .map(h -> h.id + " " + "a".repeat(h.attempts.size())).toList(), "cut at byte " + cut);
             }
         }
--- a/src/test/java/slipfield/outcome/ends/EndsTest.java
+++ b/src/test/java/slipfield/outcome/ends/EndsTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.io.TempDir;
 import slipfield.config.BadInput;
 import slipfield.core.Follow;
-import slipfield.journal.Held;
-import slipfield.journal.Owed;
+import slipfield.journal.PendingMessage;
+import slipfield.journal.PendingAnswer;
 
 /** What is kept of ends, told again and forgotten; on a loop whose clock the test moves. */
 class EndsTest {
@@ -28,18 +28,18 @@
 
     private Ends ends(long keepMs, int most, long mostBytes) {
         return new Ends(loop, new ClientsConfig.Keep(keepMs, most, mostBytes), "e1",
-                owed -> heard.add(owed.held().id));
+                owed -> heard.add(owed.message().id));
     }
 
-    private static Owed owed(Ends ends, String peer, String id, Held.End end, double waitMs) {
-        Held held = new Held(1, id, "c", "t", Optional.empty(), 7, 0, new byte[100], ends.claim(peer));
-        held.owed = Optional.of(new Held.Notice(end, waitMs));
-        return new Owed(held, ends.claim(peer));
+    private static PendingAnswer owed(Ends ends, String peer, String id, PendingMessage.FinalAnswer end, double waitMs) {
+        PendingMessage held = new PendingMessage(1, id, "c", "t", Optional.empty(), 7, 0, new byte[100], ends.claim(peer));
+        held.pendingNotice = Optional.of(new PendingMessage.Notice(end, waitMs));
+        return new PendingAnswer(held, ends.claim(peer));
     }
 
     private void owe(Ends ends, String peer, String... ids) {
         for (String id : ids) {
-            ends.owe(owed(ends, peer, id, Held.End.DELIVERED, 0));
+            ends.owe(owed(ends, peer, id, PendingMessage.FinalAnswer.DELIVERED, 0));
         }
         ends.flush();
     }
@@ -70,8 +70,8 @@
     @Test
     void aRefusalTellsWhenToComeBack() {
         Ends ends = ends(60_000, 100, 1 << 20);
-        ends.owe(owed(ends, "desk", "a", Held.End.REFUSED, 250.4));
-        ends.owe(owed(ends, "desk", "b", Held.End.FAILED, 0));
+        ends.owe(owed(ends, "desk", "a", PendingMessage.FinalAnswer.REFUSED, 250.4));
+        ends.owe(owed(ends, "desk", "b", PendingMessage.FinalAnswer.FAILED, 0));
         ask(ends, "desk", "", 0);
         assertEquals("{\"cursor\":\"e1-1\",\"ref\":\"a\",\"end\":\"refused\",\"wait_ms\":250}\n"
                 + "{\"cursor\":\"e1-2\",\"ref\":\"b\",\"end\":\"failed\"}\n", told.get(0));
@@ -140,7 +140,7 @@
     void aLongListIsToldInParts() {
         Ends ends = ends(60_000, 10_000, 1 << 24);
         for (int i = 1; i <= 3000; i++) {
-            ends.owe(owed(ends, "desk", "id-" + i, Held.End.DELIVERED, 0));
+            ends.owe(owed(ends, "desk", "id-" + i, PendingMessage.FinalAnswer.DELIVERED, 0));
         }
         String after = "";
         for (int answers = 0; heard.size() < 3000; answers++) {
--- a/src/test/java/slipfield/settings/SectionTest.java
+++ b/src/test/java/slipfield/settings/SectionTest.java
@@ -36,8 +36,8 @@
         assertEquals(0.25, s.share("e", 0));
         assertEquals(List.of("x", "y"), s.texts("f"));
         assertTrue(s.section("g").orElseThrow().flag("h", false));
-        assertEquals(7, s.sections("i").get(0).whole("j", 0, 0, 10));
-        assertEquals(5, s.whole("absent", 5, 0, 10));
+        assertEquals(7, s.sections("i").get(0).integer("j", 0, 0, 10));
+        assertEquals(5, s.integer("absent", 5, 0, 10));
         for (long ms : new long[] {0, 1, 999, 1000, 60_000, 90_000, 3_600_000}) {
             assertEquals(ms, read("t: " + Section.time(ms)).millis("t", -1, 0, Long.MAX_VALUE));
         }
@@ -49,7 +49,7 @@
         wrong("1:1:", () -> read("- a\n- b"));
         wrong("2:1:", () -> read("a: 1\na: 2"));
         wrong("2:", () -> read("a: [1\nb: 2"));
-        wrong("2:3:", () -> read("a:\n  b: 1\n").section("a").orElseThrow().only("c"));
+        wrong("2:3:", () -> read("a:\n  b: 1\n").section("a").orElseThrow().allowOnly("c"));
         wrong("1:4:", () -> read("a: 5").millis("a", 0, 0, 10));
         wrong("1:4:", () -> read("a: 5s").millis("a", 0, 0, 10));
         wrong("1:4:", () -> read("a: 1e99s").millis("a", 0, 0, 10));
@@ -58,7 +58,7 @@
         wrong("1:4:", () -> read("a: NaN").share("a", 0));
         wrong("1:4:", () -> read("a: 120%").share("a", 0));
         wrong("1:4:", () -> read("a: NaN").number("a", 0, 0, 1));
-        wrong("1:4:", () -> read("a: 99999999999999999999").whole("a", 0, 0, 10));
+        wrong("1:4:", () -> read("a: 99999999999999999999").integer("a", 0, 0, 10));
         wrong("1:4:", () -> read("a: [1]").text("a", ""));
         wrong("1:4:", () -> read("a: yes").flag("a", false));
         wrong("1:4:", () -> read("a: b").texts("a"));
@@ -87,7 +87,7 @@
             }
             try {
                 Section s = read(text.toString());
-                s.only("precedence", "rules", "list");
+                s.allowOnly("precedence", "rules", "list");
                 s.texts("precedence");
                 s.section("rules");
                 s.sections("list");
--- a/src/test/java/slipfield/transport/http/EndpointsTest.java
+++ b/src/test/java/slipfield/transport/http/EndpointsTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import slipfield.core.Transport;
-import slipfield.journal.Held;
+import slipfield.journal.PendingMessage;
 import slipfield.policy.DeliveryPolicy.AttemptOutcome;
 import slipfield.policy.DeliveryPolicy.AttemptTiming;
 import slipfield.standin.Stub;
@@ -64,11 +64,11 @@
     }
 
     private Transport.Attempt start(byte[] body, double timeoutMs) throws Exception {
-        Held held = new Held(1, "id-1", "order", "t", Optional.of("key-1"), 7, 0, body);
+        PendingMessage held = new PendingMessage(1, "id-1", "order", "t", Optional.of("key-1"), 7, 0, body);
         return start(held, timeoutMs, 0);
     }
 
-    private Transport.Attempt start(Held held, double timeoutMs, long decidedAgoMs) throws Exception {
+    private Transport.Attempt start(PendingMessage held, double timeoutMs, long decidedAgoMs) throws Exception {
         return loop.submit(() -> endpoints.attempt(held, 0, 1, new AttemptTiming(timeoutMs, Double.POSITIVE_INFINITY),
                 System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(decidedAgoMs))).get();
     }
@@ -103,7 +103,7 @@
     @Test
     void aTimeOutCountsFromTheDecisionHoweverLateTheCall() throws Exception {
         stub.script(Stub.silent());
-        Held held = new Held(1, "id-1", "order", "t", Optional.of("key-1"), 7, 0, new byte[0]);
+        PendingMessage held = new PendingMessage(1, "id-1", "order", "t", Optional.of("key-1"), 7, 0, new byte[0]);
         start(held, 600_000, 600_000);
         assertTrue(end() != null, "it ends at once, not in ten minutes");
     }
@@ -111,7 +111,7 @@
     /** Found where sends came 2.10 s after the list had told of a drain: connecting had taken the time. */
     @Test
     void aCallWhoseEndpointLeftTheListWhileItWasConnectedIsNotMade() throws Exception {
-        Held held = new Held(1, "id-1", "order", "t", Optional.of("key-1"), 7, 0, new byte[0]);
+        PendingMessage held = new PendingMessage(1, "id-1", "order", "t", Optional.of("key-1"), 7, 0, new byte[0]);
         loop.submit(() -> {
             endpoints.attempt(held, 0, 1, new AttemptTiming(LONG_MS, LONG_MS), System.nanoTime());
             endpoints.stop(1);
@@ -132,7 +132,7 @@
      */
     @Test
     void aRepeatWhoseConnectionComesUpAfterItsWindowIsNotMade() throws Exception {
-        Held held = new Held(1, "id-1", "order", "t", Optional.of("key-1"), 7, 0, new byte[0]);
+        PendingMessage held = new PendingMessage(1, "id-1", "order", "t", Optional.of("key-1"), 7, 0, new byte[0]);
         long decided = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(300);
         loop.submit(() -> endpoints.attempt(held, 0, 1, new AttemptTiming(LONG_MS, 250), decided)).get();
         assertEquals(new End(AttemptOutcome.NOT_SENT, false, 0), end());
@@ -209,7 +209,7 @@
     /** Else a keyed message that was never written would be failed when a window is over that never began. */
     @Test
     void aCallThatIsCancelledBeforeItsConnectionIsUpNeverRan() throws Exception {
-        Held held = new Held(1, "id-1", "order", "t", Optional.of("key-1"), 7, 0, new byte[0]);
+        PendingMessage held = new PendingMessage(1, "id-1", "order", "t", Optional.of("key-1"), 7, 0, new byte[0]);
         loop.submit(() -> endpoints.attempt(held, 0, 1, new AttemptTiming(LONG_MS, LONG_MS), System.nanoTime()).cancel()).get();
         assertEquals(new End(AttemptOutcome.NOT_SENT, false, 0), end());
         expect(AttemptOutcome.DELIVERED, Stub.status(200, ""));
@@ -364,7 +364,7 @@
 
     @Test
     void aCallThatCantBeWrittenHasAnEnd() throws Exception {
-        Held held = new Held(1, "no\r\nheader", "order", "t", Optional.empty(), 7, 0, new byte[1]);
+        PendingMessage held = new PendingMessage(1, "no\r\nheader", "order", "t", Optional.empty(), 7, 0, new byte[1]);
         start(held, 600_000, 0);
         assertEquals(new End(AttemptOutcome.UNREACHABLE, false, 0), end());
         assertTrue(stub.requests.isEmpty());
--- a/src/test/java/slipfield/work/WorkerTest.java
+++ b/src/test/java/slipfield/work/WorkerTest.java
@@ -34,10 +34,10 @@
 
     WorkerTest() {
         on(() -> {
-            worker.kind(new Kind("live", Grade.LIVE, 0.5, 200, 0, 8, false, 10_000));
-            worker.kind(new Kind("ends", Grade.ENDS, 0.5, 200, 0, 8, false, 10_000));
-            worker.kind(new Kind("disk", Grade.SOON, 0.5, 200, 0, 8, true, 200));
-            worker.kind(new Kind("other disk", Grade.SOON, 0.5, 200, 0, 8, true, 10_000));
+            worker.registerKind(new Kind("live", Grade.LIVE, 0.5, 200, 0, 8, false, 10_000));
+            worker.registerKind(new Kind("ends", Grade.ENDS, 0.5, 200, 0, 8, false, 10_000));
+            worker.registerKind(new Kind("disk", Grade.SOON, 0.5, 200, 0, 8, true, 200));
+            worker.registerKind(new Kind("other disk", Grade.SOON, 0.5, 200, 0, 8, true, 10_000));
             return null;
         });
     }
@@ -73,14 +73,14 @@
                 wrong.add("not on the loop");
             }
             slices.add(slices.size());
-            return new Task.Done(0, slices.size() < 100);
+            return new Task.SliceResult(0, slices.size() < 100);
         });
         add(job("disk", "disk"), () -> {
             if (loop.inEventLoop()) {
                 wrong.add("on the loop");
             }
             pooled.add(pooled.size());
-            return new Task.Done(100, pooled.size() < 50);
+            return new Task.SliceResult(100, pooled.size() < 50);
         });
         Stub.await("both are done", () -> slices.size() == 100 && pooled.size() == 50
                 && on(worker::report).stream().allMatch(r -> r.due() + r.later() + r.running() == 0));
@@ -99,12 +99,12 @@
         AtomicInteger done = new AtomicInteger();
         add(job("hangs", "disk"), () -> {
             never.await();
-            return Task.Done.LAST;
+            return Task.SliceResult.LAST;
         });
         Stub.await("its kind is stopped", () -> on(worker::report).get(2).stopped().startsWith("hangs: a slice has not ended"));
-        add(job("same kind", "disk"), () -> new Task.Done(done.addAndGet(1000), false));
+        add(job("same kind", "disk"), () -> new Task.SliceResult(done.addAndGet(1000), false));
         for (int i = 0; i < 20; i++) {
-            add(job("other", "other disk"), () -> new Task.Done(done.incrementAndGet(), false));
+            add(job("other", "other disk"), () -> new Task.SliceResult(done.incrementAndGet(), false));
         }
         Stub.await("others are done", () -> done.get() >= 20);
         never.countDown();
@@ -120,19 +120,19 @@
             if (tries.incrementAndGet() < 3) {
                 throw new IllegalStateException("on purpose");
             }
-            return Task.Done.LAST;
+            return Task.SliceResult.LAST;
         });
         add(job("too deep", "other disk"), () -> deep(0));
         add(Job.every("good", "live", 0, 5, 0.2), () -> {
             good.incrementAndGet();
-            return Task.Done.LAST;
+            return Task.SliceResult.LAST;
         });
         Stub.await("it is tried again until it is done, and others meanwhile", () -> tries.get() == 3 && good.get() > 20);
         assertEquals(2, on(worker::report).get(0).thrown());
     }
 
-    private static Task.Done deep(int depth) {
-        return depth < 0 ? Task.Done.LAST : deep(depth + 1);
+    private static Task.SliceResult deep(int depth) {
+        return depth < 0 ? Task.SliceResult.LAST : deep(depth + 1);
     }
 
     /** A loop that was held up does what ends wait for first, and the rest once it is on time again. */
@@ -143,12 +143,12 @@
         loop.execute(() -> {
             worker.add(Job.once("live", "live", worker.nowMs() + 60), () -> {
                 order.add("live at " + (worker.latenessMs() >= Scheduler.LATE_LOOP_MS ? "a late loop" : "rest"));
-                return Task.Done.LAST;
+                return Task.SliceResult.LAST;
             });
             worker.add(Job.once("ends", "ends", worker.nowMs() + 60), () -> {
                 order.add("ends");
                 held.countDown();
-                return Task.Done.LAST;
+                return Task.SliceResult.LAST;
             });
             long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(300);
             while (System.nanoTime() < until) {
@@ -169,7 +169,7 @@
         });
         on(() -> worker.add(Job.once("late", "live", 0), () -> {
             done.incrementAndGet();
-            return Task.Done.LAST;
+            return Task.SliceResult.LAST;
         }));
         on(() -> null);
         assertFalse(done.get() > 0);
