--- a/src/main/java/slipfield/core/Directory.java
+++ b/src/main/java/slipfield/core/Directory.java
@@ -14,13 +14,13 @@
     }
 
     /** Is told what has changed. */
-    interface Lists {
+    interface EndpointListener {
         /** {@code whole}: what this directory doesn't name is no longer in its list. */
-        void listed(boolean whole, List<Entry> entries);
+        void endpointsChanged(boolean whole, List<Entry> entries);
     }
 
     /** Begins to watch, and tells these of each change, on the core's thread. */
-    void start(Lists lists);
+    void start(EndpointListener lists);
 
     /** Whether what it told last came from its source, and not merely from what the configuration knew. */
     boolean fresh();
--- a/src/main/java/slipfield/core/Catalogue.java
+++ b/src/main/java/slipfield/core/EndpointCatalogue.java
@@ -11,7 +11,7 @@
  * the others did; so one that dies leaves its last list standing. Ids of the first directory stand as they are,
  * those of another are behind its name and a slash: equal ids of two are two endpoints. Pure.
  */
-final class Catalogue {
+final class EndpointCatalogue {
     /** What the module is told. */
     record Change(boolean whole, List<Directory.Entry> entries) {
     }
@@ -20,7 +20,7 @@
     private final String first;
 
     /** Of these directories, by name; the first one's ids stand as they are. */
-    Catalogue(List<String> names) {
+    EndpointCatalogue(List<String> names) {
         first = names.get(0);
         names.forEach(name -> lists.put(name, new HashMap<>()));
     }
--- a/src/main/java/slipfield/core/Front.java
+++ b/src/main/java/slipfield/core/Frontend.java
@@ -4,11 +4,11 @@
 import java.net.InetSocketAddress;
 
 /**
- * A way in for messages. It hands each in at the {@link Desk}, and tells its client what the desk answers. Final
- * answers reach a client by the {@link Outcome} that the message's claim names: a front whose protocol has them is
+ * A way in for messages. It hands each in at the {@link MessageIntake}, and tells its client what the desk answers. Final
+ * answers reach a client by the {@link AnswerChannel} that the message's claim names: a front whose protocol has them is
  * one itself.
  */
-public interface Front {
+public interface Frontend {
     /** Begins to listen, and waits until it does: so it is not called on the core's thread. */
     InetSocketAddress listen() throws IOException;
 
@@ -23,7 +23,7 @@
     }
 
     /** Connections that clients have open. */
-    int clients();
+    int openConnections();
 
     /** Whether connections that clients have made may still be taken up; {@link #close} ends that, not always at once. */
     default boolean accepting() {
--- a/src/main/java/slipfield/core/Lateness.java
+++ b/src/main/java/slipfield/core/LatenessLog.java
@@ -4,11 +4,11 @@
 import slipfield.log.Log;
 
 /** Tells the people on call how late this sender is, where that is more than any rule leaves: it gets too little of its core. */
-final class Lateness {
+final class LatenessLog {
     /** Due things that are done so much later, in ms, are told: all deadlines are meant for less. */
     private static final double LOOP_MS = 1000;
 
-    private Lateness() {
+    private LatenessLog() {
     }
 
     /** Something that was due was done so many milliseconds later. */
--- a/src/main/java/slipfield/core/Sender.java
+++ b/src/main/java/slipfield/core/Sender.java
@@ -61,12 +61,12 @@
     private static final long REHEARSE_MS = 4000;
     private static final long REHEARSE_HELD_MS = 300;
     /** The property that switches the account of the loop's time on: {@code -Dsender.trace=true}. */
-    public static final boolean TRACED = Boolean.getBoolean("sender.trace");
+    public static final boolean TRACE_ENABLED = Boolean.getBoolean("sender.trace");
     /** The property that switches the steps of each message on: {@code -Dsender.flow=true}. */
-    public static final boolean FLOWS = Boolean.getBoolean("sender.flow");
+    public static final boolean FLOW_ENABLED = Boolean.getBoolean("sender.flow");
 
     private final Config config;
-    private final Parts parts;
+    private final SenderComponents parts;
     private final long takingMs;
     private final long closingMs;
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -94,15 +94,15 @@
     private final Map<Long, Decided> stale = new LinkedHashMap<>();
     private final DeliveryPolicy policy;
     private final Admission admission;
-    private final Trace trace = TRACED ? new Trace(System.err) : null;
+    private final Trace trace = TRACE_ENABLED ? new Trace(System.err) : null;
     private Recovery recovery;
     private Journal journal;
     private Durability durability;
     private Transport transport;
-    private Map<String, Outcome> outcomes = Map.of();
+    private Map<String, AnswerChannel> outcomes = Map.of();
     private Map<String, Directory> directories = Map.of();
-    private Catalogue catalogue;
-    private List<Front> fronts = List.of();
+    private EndpointCatalogue catalogue;
+    private List<Frontend> fronts = List.of();
     private boolean turnOpen;
     private double clock;
     private boolean closing;
@@ -124,7 +124,7 @@
      * @param takingMs from being told to end: new connections come for so long at most
      * @param closingMs from being told to end: attempts out may last till here
      */
-    public Sender(Config config, Parts parts, long takingMs, long closingMs, ProcessClock life) {
+    public Sender(Config config, SenderComponents parts, long takingMs, long closingMs, ProcessClock life) {
         this.config = config;
         this.parts = parts;
         this.life = life;
@@ -148,7 +148,7 @@
             Thread.currentThread().interrupt();
         }
         List<InetSocketAddress> addresses = new ArrayList<>();
-        for (Front front : fronts) {
+        for (Frontend front : fronts) {
             InetSocketAddress address = front.listen();
             Log.info("sender.listening", "name", config.name(), "address", Config.hostPort(address));
             addresses.add(address);
@@ -160,16 +160,16 @@
         journal = taken;
         durability = new Durability(loop, journal, this::mayGoOn, new Effects());
         durability.check();
-        ended = new EndedIds(parts.idsKnown());
+        ended = new EndedIds(parts.rememberedIds());
         transport = parts.transport(loop, new Attempts());
         transport.start();
-        outcomes = parts.outcomes(loop, this::heard);
-        fronts = parts.fronts(loop, new Clients());
+        outcomes = parts.answerChannels(loop, this::heard);
+        fronts = parts.frontends(loop, new Clients());
         directories = parts.directories(loop);
-        catalogue = new Catalogue(List.copyOf(directories.keySet()));
-        if (TRACED) {
+        catalogue = new EndpointCatalogue(List.copyOf(directories.keySet()));
+        if (TRACE_ENABLED) {
             journal.setTrace(trace);
-            parts.traced(trace);
+            parts.enableTrace(trace);
         }
         recover();
         return null;
@@ -238,7 +238,7 @@
         public void endsOut() {
             directories.forEach((name, directory) ->
                     directory.start((whole, entries) -> listed(name, directory.fresh(), whole, entries)));
-            parts.rehearse(loop, open.isEmpty() ? REHEARSE_MS : REHEARSE_HELD_MS, endsOut::countDown);
+            parts.warmUp(loop, open.isEmpty() ? REHEARSE_MS : REHEARSE_HELD_MS, endsOut::countDown);
         }
 
         @Override
@@ -269,7 +269,7 @@
 
     /** The module's ends of a turn are on their way before its calls: a late end is a lost message. */
     private void endTurn() {
-        long begun = TRACED ? traced(Trace.Part.MODULE) : 0;
+        long begun = TRACE_ENABLED ? traced(Trace.Part.MODULE) : 0;
         try {
             policy.endIteration(clock);
         } catch (RuntimeException e) {
@@ -279,19 +279,19 @@
         }
         record();
         durability.release();
-        if (TRACED) {
+        if (TRACE_ENABLED) {
             trace.leave();
             trace.enter(Trace.Part.NOTICES);
         }
-        outcomes.values().forEach(Outcome::flush);
-        if (TRACED) {
+        outcomes.values().forEach(AnswerChannel::flush);
+        if (TRACE_ENABLED) {
             trace.leave();
             trace.enter(Trace.Part.CALLS);
         }
         makeCalls();
-        if (TRACED) {
+        if (TRACE_ENABLED) {
             trace.leave();
-            trace.turn(System.nanoTime() - begun);
+            trace.iteration(System.nanoTime() - begun);
         }
     }
 
@@ -385,7 +385,7 @@
     }
 
     private void call(Decided d) {
-        if (FLOWS) {
+        if (FLOW_ENABLED) {
             Flow.step("out", d.held.id, d.attempt, d.held.destination, endpointIds.get(d.endpoint));
         }
         long decidedNanos = startNanos + (long) (d.atMs * 1e6);
@@ -463,8 +463,8 @@
         loop.schedule(() -> {
             double now = openTurn();
             admission.late(now, now - time);
-            Lateness.due(now - time);
-            if (TRACED) {
+            LatenessLog.due(now - time);
+            if (TRACE_ENABLED) {
                 trace.late(now - time);
             }
             event(() -> policy.wake(now));
@@ -515,8 +515,8 @@
     private void end(PendingMessage held, PendingMessage.Notice notice) {
         over(held, false);
         OutageLog.ended(held, notice);
-        Lateness.ended(held, life.wallMs() - held.deadlineMs, UNREAD_MS, ready);
-        if (TRACED) {
+        LatenessLog.ended(held, life.wallMs() - held.deadlineMs, UNREAD_MS, ready);
+        if (TRACE_ENABLED) {
             traceEnd(held);
         }
         ended.add(held.id, false);
@@ -535,11 +535,11 @@
         }
         // A copy: one that is heard at once is taken off.
         for (AnswerRecipient claim : List.copyOf(held.recipients)) {
-            Outcome outcome = outcomes.get(claim.channel());
+            AnswerChannel outcome = outcomes.get(claim.channel());
             if (outcome == null) {
                 Log.warn("outcome.not_set_up", "outcome", claim.channel(), "message", held.id);
             } else {
-                outcome.owe(new PendingAnswer(held, claim));
+                outcome.enqueue(new PendingAnswer(held, claim));
             }
         }
     }
@@ -568,25 +568,25 @@
     // ---- what the module is told ----
 
     /** The transport's side. */
-    private final class Attempts implements Transport.Ends {
+    private final class Attempts implements Transport.AttemptListener {
         @Override
         public boolean mayBegin(Transport.Attempt call) {
-            return policy.mayBegin(now(), call.held().number, call.number());
+            return policy.mayBegin(now(), call.message().number, call.number());
         }
 
         @Override
         public void ended(Transport.Attempt call, DeliveryPolicy.AttemptOutcome outcome, boolean gone, double waitMs,
                 DeliveryPolicy.LimitReport told) {
-            calls.remove(out(call.held().number, call.number()));
+            calls.remove(out(call.message().number, call.number()));
             double took = (System.nanoTime() - call.startedNanos()) / 1e6;
-            attemptEnded(call.held(), call.number(), outcome, gone, waitMs, told, took);
+            attemptEnded(call.message(), call.number(), outcome, gone, waitMs, told, took);
         }
     }
 
     private void attemptEnded(PendingMessage held, int attempt, DeliveryPolicy.AttemptOutcome outcome, boolean gone, double waitMs,
             DeliveryPolicy.LimitReport told, double took) {
         double now = openTurn();
-        if (FLOWS) {
+        if (FLOW_ENABLED) {
             Flow.step("end", held.id, attempt, held.destination, held.attempts.get(attempt).endpoint, outcome,
                     (long) took, told.perSecond(), told.remainingShare());
         }
@@ -622,7 +622,7 @@
     }
 
     private void over(PendingMessage held, boolean delivered) {
-        if (FLOWS) {
+        if (FLOW_ENABLED) {
             Flow.step("over", held.id, delivered, held.destination, life.wallMs() - held.acceptedMs);
         }
         held.finished = true;
@@ -633,7 +633,7 @@
 
     private void heard(PendingAnswer answer) {
         PendingMessage held = answer.message();
-        if (TRACED && held.answeredMs > 0 && life.wallMs() - held.deadlineMs > LATE_END_MS) {
+        if (TRACE_ENABLED && held.answeredMs > 0 && life.wallMs() - held.deadlineMs > LATE_END_MS) {
             trace.lateNotice(held.id, life.wallMs() - held.answeredMs, life.wallMs() - held.deadlineMs);
         }
         try {
@@ -644,15 +644,15 @@
     }
 
     private void listed(String directory, boolean fresh, boolean whole, List<Directory.Entry> told) {
-        Catalogue.Change change = catalogue.listed(directory, whole, told);
+        EndpointCatalogue.Change change = catalogue.listed(directory, whole, told);
         List<DeliveryPolicy.Endpoint> list = new ArrayList<>();
         for (Directory.Entry e : change.entries()) {
             long number = endpointNumber(e.id());
-            if (FLOWS) {
+            if (FLOW_ENABLED) {
                 Flow.step("listed", e.id(), e.destination(), e.serving(), e.weight(), e.kind());
             }
             destinations.add(e.destination());
-            transport.at(number, e.address(), e.serving());
+            transport.updateEndpoint(number, e.address(), e.serving());
             list.add(new DeliveryPolicy.Endpoint(number, e.destination(), Math.max(0, config.kinds().indexOf(e.kind())),
                     Math.max(0, config.zones().indexOf(e.zone())), e.serving(), e.weight(), e.gone()));
         }
@@ -704,7 +704,7 @@
     }
 
     /** The clients' side. */
-    private final class Clients implements Desk {
+    private final class Clients implements MessageIntake {
         @Override
         public boolean ready() {
             return ready && !closing;
@@ -733,19 +733,19 @@
 
         /** What was ended by a notice is not taken on again under its id, nor is it owed anything more. */
         @Override
-        public Optional<Known> before(String id, AnswerRecipient claim) {
+        public Optional<DuplicateState> checkDuplicate(String id, AnswerRecipient claim) {
             PendingMessage held = byId.get(id);
             if (held != null) {
                 claim(held, claim);
-                return Optional.of(Known.HELD);
+                return Optional.of(DuplicateState.PENDING);
             }
             return ended.delivered(id).map(delivered ->
-                    delivered ? Known.DELIVERED : Known.ENDED);
+                    delivered ? DuplicateState.DELIVERED : DuplicateState.UNDELIVERED);
         }
 
         private void claim(PendingMessage held, AnswerRecipient claim) {
             // Somebody is about to hear that it is held: it must not be withdrawn for another who never does.
-            answered(held, true);
+            acceptanceReported(held, true);
             if (!held.recipients.contains(claim)) {
                 try {
                     journal.recordRecipient(held, claim);
@@ -758,7 +758,7 @@
         }
 
         @Override
-        public void left(String outcome, String peer) {
+        public void recipientGone(String outcome, String peer) {
             for (PendingMessage held : List.copyOf(open.values())) {
                 for (AnswerRecipient claim : List.copyOf(held.recipients)) {
                     if (claim.channel().equals(outcome) && claim.peer().equals(peer) && !claim.keepsAnswers()) {
@@ -769,9 +769,9 @@
         }
 
         @Override
-        public Taking take(Submission s) {
+        public SubmissionResult submit(Submission s) {
             if (!ready) {
-                return Taking.refused("not ready yet", 0);
+                return SubmissionResult.refused("not ready yet", 0);
             }
             double mostMs = config.settings().classes().get(config.classes().indexOf(s.messageClass()))
                     .deadlineMs();
@@ -779,42 +779,42 @@
             long reserveMs = admission.isLate(now()) ? UNREAD_LATE_MS : Math.min(UNREAD_MS, leftMs / 2);
             leftMs -= reserveMs;
             Admission.Verdict verdict = admission.admit(now(), s.destination(), leftMs, open.size());
-            if (FLOWS) {
+            if (FLOW_ENABLED) {
                 Flow.step("asked", s.id(), s.destination(), verdict.taken(), open.size(), leftMs,
                         s.key().orElse("-"), verdict.reason().replace(' ', '_'));
             }
             if (!verdict.taken()) {
-                return new Taking(Optional.empty(), verdict.reason(), verdict.waitMs(), verdict.destination());
+                return new SubmissionResult(Optional.empty(), verdict.reason(), verdict.waitMs(), verdict.destination());
             }
             PendingMessage held = new PendingMessage(journal.nextNumber(), s.id(), s.messageClass(), s.tenant(), s.key(),
-                    s.destination(), life.wallMs() + leftMs, s.body(), s.claims().get(0));
+                    s.destination(), life.wallMs() + leftMs, s.body(), s.recipients().get(0));
             held.reserveMs = (int) reserveMs;
-            held.recipients.addAll(s.claims().subList(1, s.claims().size()));
+            held.recipients.addAll(s.recipients().subList(1, s.recipients().size()));
             // Its end writes what is collected, whatever becomes of this message.
             openTurn();
             try {
                 journal.recordAccepted(held);
             } catch (IOException e) {
-                return Taking.refused("no room", 0);
+                return SubmissionResult.refused("no room", 0);
             }
             open.put(held.number, held);
             byId.put(held.id, held);
             admission.held(now(), held.destination);
-            return Taking.taken(held);
+            return SubmissionResult.accepted(held);
         }
 
         @Override
-        public boolean written() {
+        public boolean writeAccepted() {
             return flushed();
         }
 
         @Override
-        public boolean recorded(PendingMessage held) {
+        public boolean isRecorded(PendingMessage held) {
             return journal.isRecorded(held);
         }
 
         @Override
-        public void answered(PendingMessage held, boolean heard) {
+        public void acceptanceReported(PendingMessage held, boolean heard) {
             if (held.acceptanceReported || held.finished) {
                 return;
             }
@@ -847,7 +847,7 @@
             closing = true;
             event(() -> policy.shutdownScheduled(openTurn(), clock + closingMs));
             loop.schedule(() -> {
-                fronts.forEach(Front::close);
+                fronts.forEach(Frontend::close);
                 awaitIdle(begun);
             }, takingMs, TimeUnit.MILLISECONDS);
         });
@@ -859,22 +859,22 @@
     }
 
     private void awaitIdle(long begun) {
-        boolean alone = fronts.stream().allMatch(front -> front.clients() == 0 && !front.accepting());
+        boolean alone = fronts.stream().allMatch(front -> front.openConnections() == 0 && !front.accepting());
         long leftMs = closingMs - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun);
         if (leftMs <= 0) {
-            fronts.forEach(Front::finish);
+            fronts.forEach(Frontend::finish);
         }
         // What was read a moment ago has its answer first: to end now would end its connection without one.
-        if (alone && (leftMs <= 0 || open.isEmpty() && owed() == 0) || leftMs <= -LAST_ANSWERS_MS) {
-            Log.info("sender.ended", "name", config.name(), "held", open.size(), "owed", owed());
+        if (alone && (leftMs <= 0 || open.isEmpty() && pendingCount() == 0) || leftMs <= -LAST_ANSWERS_MS) {
+            Log.info("sender.ended", "name", config.name(), "held", open.size(), "owed", pendingCount());
             stopped.countDown();
             return;
         }
         loop.schedule(LoggedTask.of("sender.drain", () -> awaitIdle(begun)), DRAIN_POLL_MS, TimeUnit.MILLISECONDS);
     }
 
-    private int owed() {
-        return durability.waiting() + outcomes.values().stream().mapToInt(Outcome::owed).sum();
+    private int pendingCount() {
+        return durability.waiting() + outcomes.values().stream().mapToInt(AnswerChannel::pendingCount).sum();
     }
 
     /** Waits until the sender has ended. */
@@ -888,7 +888,7 @@
     }
 
     /** Turns that taking up the journal took. */
-    public int recoveryTurns() {
+    public int recoveryBatches() {
         return loop.submit(recovery::turns).syncUninterruptibly().getNow();
     }
 
@@ -899,7 +899,7 @@
      */
     public void kill() {
         loop.submit(journal::close).syncUninterruptibly();
-        fronts.forEach(Front::kill);
+        fronts.forEach(Frontend::kill);
         group.shutdownGracefully(KILL_QUIET_MS, 10 * KILL_QUIET_MS, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
 }
--- a/src/main/java/slipfield/core/Transport.java
+++ b/src/main/java/slipfield/core/Transport.java
@@ -12,7 +12,7 @@
     /** An attempt on its way. */
     interface Attempt {
         /** The message that it carries. */
-        PendingMessage held();
+        PendingMessage message();
 
         /** Which of the message's attempts it is, from 0. */
         int number();
@@ -25,7 +25,7 @@
     }
 
     /** Told of the end of each attempt, once; asked before its first byte where that had to wait. */
-    interface Ends {
+    interface AttemptListener {
         /**
          * Whether an attempt that was decided a while ago may still begin, its connection having come up only now. False: not
          * one byte of it is written, and it ends as {@link DeliveryPolicy.AttemptOutcome#NOT_SENT}. Without anybody to decide
@@ -50,7 +50,7 @@
     void start();
 
     /** An endpoint is at this address from now on; connections to another one are of no more use. */
-    void at(long endpoint, SocketAddress address, boolean serving);
+    void updateEndpoint(long endpoint, SocketAddress address, boolean serving);
 
     /** Nothing new may go there, be it decided already. */
     void stop(long endpoint);
--- a/src/main/java/slipfield/daemon/AmqpParts.java
+++ b/src/main/java/slipfield/daemon/AmqpParts.java
@@ -13,10 +13,10 @@
 import slipfield.amqp.server.ConnectionReport;
 import slipfield.config.BadInput;
 import slipfield.config.Config;
-import slipfield.core.Desk;
+import slipfield.core.AnswerChannel;
 import slipfield.core.Directory;
-import slipfield.core.Front;
-import slipfield.core.Outcome;
+import slipfield.core.Frontend;
+import slipfield.core.MessageIntake;
 import slipfield.core.Transport;
 import slipfield.front.amqp.Publications;
 import slipfield.journal.PendingAnswer;
@@ -60,7 +60,7 @@
         return config.limits().knownIds();
     }
 
-    Transport beside(Transport network, EventLoop loop, Worker worker, Transport.Ends ends) {
+    Transport beside(Transport network, EventLoop loop, Worker worker, Transport.AttemptListener ends) {
         view.setWorker(worker);
         epoch = Long.toHexString(System.currentTimeMillis());
         server = new AmqpServer(loop, config, epoch);
@@ -69,7 +69,7 @@
         return new Ways(network, queues);
     }
 
-    Outcome outcome(Consumer<PendingAnswer> heard) {
+    AnswerChannel outcome(Consumer<PendingAnswer> heard) {
         publications = new Publications(server, config.routes(), heard);
         server.over(publications, queues);
         return publications;
@@ -96,7 +96,7 @@
         return publications.addresses();
     }
 
-    Front front(Desk desk) throws IOException {
+    Frontend front(MessageIntake desk) throws IOException {
         publications.over(desk, new Brokers(loop, config, epoch, queues, publications));
         writeView();
         return publications;
--- a/src/main/java/slipfield/daemon/Daemon.java
+++ b/src/main/java/slipfield/daemon/Daemon.java
@@ -15,12 +15,12 @@
 import slipfield.amqp.server.ConnectionReport;
 import slipfield.config.BadInput;
 import slipfield.config.Config;
-import slipfield.core.Desk;
+import slipfield.core.AnswerChannel;
 import slipfield.core.Directory;
-import slipfield.core.Front;
-import slipfield.core.Outcome;
-import slipfield.core.Parts;
+import slipfield.core.Frontend;
+import slipfield.core.MessageIntake;
 import slipfield.core.Sender;
+import slipfield.core.SenderComponents;
 import slipfield.core.Transport;
 import slipfield.directory.Discovery;
 import slipfield.directory.merged.Members;
@@ -30,14 +30,14 @@
 import slipfield.journal.ProcessClock;
 import slipfield.journal.PendingAnswer;
 import slipfield.log.Log;
-import slipfield.outcome.Notices;
+import slipfield.outcome.ends.ClientAnswers;
 import slipfield.outcome.ends.ClientsConfig;
-import slipfield.outcome.ends.Ends;
+import slipfield.outcome.PlatformNotices;
 import slipfield.trace.Trace;
 import slipfield.transport.http.Endpoints;
 
 /** A sender with the parts that its configuration names, and the signals that it heeds. */
-public final class Daemon implements Parts {
+public final class Daemon implements SenderComponents {
     /** Descriptors that are neither clients nor calls: the machine's own (30 are seen), the journal, agents. */
     private static final int OTHER_SOCKETS = 48;
     /** Share of the rest for clients, who may hold a third of all for requests; the others are for calls. */
@@ -55,14 +55,14 @@
     private final int mostIdle;
     private InetSocketAddress agentAddress;
     private Endpoints endpoints;
-    private Notices notices;
+    private PlatformNotices notices;
     private Discovery discovery;
     private Intake intake;
     /** Absent unless the operator has named a file of sources: no class of them is loaded without. */
     private Members members;
     /** Absent unless the operator's file of clients is set. */
     private ClientsConfig clients;
-    private Ends ends;
+    private ClientAnswers ends;
     /** Absent unless the operator's file of AMQP is set: no class of it is loaded without. */
     private AmqpParts amqp;
     /** Absent unless a part has work that may wait. */
@@ -161,7 +161,7 @@
     }
 
     int recoveryTurns() {
-        return sender.recoveryTurns();
+        return sender.recoveryBatches();
     }
 
     /**
@@ -183,7 +183,7 @@
         if (!address.equals(agentAddress)) {
             agentAddress = address;
             discovery.moveTo(new Agent(sender.loop(), address));
-            notices.moveTo(() -> new Agent(sender.loop(), address));
+            notices.switchAgent(() -> new Agent(sender.loop(), address));
         }
     }
 
@@ -202,24 +202,24 @@
     }
 
     @Override
-    public int idsKnown() {
-        return amqp == null ? Parts.super.idsKnown() : amqp.idsKnown();
+    public int rememberedIds() {
+        return amqp == null ? SenderComponents.super.rememberedIds() : amqp.idsKnown();
     }
 
     @Override
-    public Transport transport(EventLoop loop, Transport.Ends ends) {
+    public Transport transport(EventLoop loop, Transport.AttemptListener ends) {
         endpoints = new Endpoints(loop, config.connectTimeoutMs(), config.settings().keepAliveMs(), mostIdle, ends);
         return amqp == null ? endpoints : amqp.beside(endpoints, loop, background(loop).worker(), ends);
     }
 
     @Override
-    public Map<String, Outcome> outcomes(EventLoop loop, Consumer<PendingAnswer> heard) {
-        notices = new Notices(loop, () -> new Agent(loop, agentAddress), heard);
-        Map<String, Outcome> outcomes = new LinkedHashMap<>();
+    public Map<String, AnswerChannel> answerChannels(EventLoop loop, Consumer<PendingAnswer> heard) {
+        notices = new PlatformNotices(loop, () -> new Agent(loop, agentAddress), heard);
+        Map<String, AnswerChannel> outcomes = new LinkedHashMap<>();
         outcomes.put(AnswerRecipient.PLATFORM.channel(), notices);
         if (clients != null && clients.ends().isPresent()) {
-            ends = new Ends(loop, clients.ends().get(), Long.toHexString(System.currentTimeMillis()), heard);
-            outcomes.put(Ends.NAME, ends);
+            ends = new ClientAnswers(loop, clients.ends().get(), Long.toHexString(System.currentTimeMillis()), heard);
+            outcomes.put(ClientAnswers.NAME, ends);
         }
         if (amqp != null) {
             outcomes.put(AmqpParts.NAME, amqp.outcome(heard));
@@ -245,20 +245,20 @@
     }
 
     @Override
-    public List<Front> fronts(EventLoop loop, Desk desk) throws IOException {
+    public List<Frontend> frontends(EventLoop loop, MessageIntake desk) throws IOException {
         intake = new Intake(loop, config.listen(), mostClients, desk, clients == null ? Intake.Hints.NONE
                 : new Intake.Hints(clients.reconnectMs(), clients.waitScope(), Optional.ofNullable(ends)));
         return amqp == null ? List.of(intake) : List.of(intake, amqp.front(desk));
     }
 
     @Override
-    public void traced(Trace trace) {
+    public void enableTrace(Trace trace) {
         endpoints.traced(trace);
         intake.traced(trace);
     }
 
     @Override
-    public void rehearse(EventLoop loop, long mostMs, Runnable then) {
+    public void warmUp(EventLoop loop, long mostMs, Runnable then) {
         new Rehearsal(loop, config, mostMs, then).play();
     }
 }
--- a/src/main/java/slipfield/daemon/Rehearsal.java
+++ b/src/main/java/slipfield/daemon/Rehearsal.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import slipfield.config.Config;
-import slipfield.core.Desk;
+import slipfield.core.MessageIntake;
 import slipfield.front.http.Intake;
 import slipfield.journal.AnswerRecipient;
 import slipfield.journal.PendingMessage;
@@ -90,7 +90,7 @@
     }
 
     /** A desk that takes nothing on, and a module's world in which every send arrives. */
-    private static final class Stage implements Desk, DeliveryPolicy.Actions {
+    private static final class Stage implements MessageIntake, DeliveryPolicy.Actions {
         private long sent;
 
         @Override
@@ -119,26 +119,26 @@
         }
 
         @Override
-        public Optional<Known> before(String id, AnswerRecipient claim) {
+        public Optional<DuplicateState> checkDuplicate(String id, AnswerRecipient claim) {
             return Optional.empty();
         }
 
         @Override
-        public void left(String outcome, String peer) {
+        public void recipientGone(String outcome, String peer) {
         }
 
         @Override
-        public Taking take(Submission submission) {
-            return Taking.refused("rehearsal", 0);
+        public SubmissionResult submit(Submission submission) {
+            return SubmissionResult.refused("rehearsal", 0);
         }
 
         @Override
-        public boolean written() {
+        public boolean writeAccepted() {
             return true;
         }
 
         @Override
-        public void answered(PendingMessage held, boolean heard) {
+        public void acceptanceReported(PendingMessage held, boolean heard) {
         }
 
         @Override
--- a/src/main/java/slipfield/daemon/Ways.java
+++ b/src/main/java/slipfield/daemon/Ways.java
@@ -30,11 +30,11 @@
     }
 
     @Override
-    public void at(long endpoint, SocketAddress address, boolean serving) {
+    public void updateEndpoint(long endpoint, SocketAddress address, boolean serving) {
         if (address instanceof ConsumerAddress) {
             consumers.add(endpoint);
         }
-        of(endpoint).at(endpoint, address, serving);
+        of(endpoint).updateEndpoint(endpoint, address, serving);
     }
 
     @Override
--- a/src/main/java/slipfield/directory/Discovery.java
+++ b/src/main/java/slipfield/directory/Discovery.java
@@ -45,7 +45,7 @@
     private Agent agent;
     private final Optional<JsonNode> known;
     private final Asking asking;
-    private Lists lists;
+    private EndpointListener lists;
     private final ObjectMapper json = JsonMapper.builder().build();
     private long generation = -1;
     private boolean silent;
@@ -67,7 +67,7 @@
 
     /** Takes over what the configuration knew, if anything, and asks for the rest from now on. */
     @Override
-    public void start(Lists told) {
+    public void start(EndpointListener told) {
         lists = told;
         known.ifPresent(list -> take(list, true));
         ask("/v1/servers", 0);
@@ -86,7 +86,7 @@
     }
 
     private void ask(String path, long waitMs) {
-        if (Sender.FLOWS) {
+        if (Sender.FLOW_ENABLED) {
             Flow.step("list_asked", path);
         }
         long asked = System.nanoTime();
@@ -95,7 +95,7 @@
     }
 
     private void answered(Optional<FullHttpResponse> answer, double tookMs) {
-        if (Sender.FLOWS) {
+        if (Sender.FLOW_ENABLED) {
             Flow.step("list_answered", answer.map(a -> a.status().code() + " " + a.content().readableBytes()).orElse("none"));
         }
         boolean listed = answer.filter(a -> a.status().code() == 200).isPresent();
@@ -167,7 +167,7 @@
             }
         }
         if (whole || !entries.isEmpty()) {
-            lists.listed(whole, entries);
+            lists.endpointsChanged(whole, entries);
         }
     }
 }
--- a/src/main/java/slipfield/directory/merged/Members.java
+++ b/src/main/java/slipfield/directory/merged/Members.java
@@ -44,7 +44,7 @@
     private String trouble = "";
     private EventLoop loop;
     private Optional<Directory> platform = Optional.empty();
-    private Lists lists;
+    private EndpointListener lists;
     private boolean told;
     private boolean consulHeard;
     private Future<?> tick;
@@ -82,7 +82,7 @@
     }
 
     @Override
-    public void start(Lists to) {
+    public void start(EndpointListener to) {
         lists = to;
         if (config.precedence().contains(MembersConfig.FILE)) {
             tell(membership.said(nowMs(), MembersConfig.FILE, config.file()));
@@ -176,7 +176,7 @@
             }
         }
         if (!entries.isEmpty() || !told) {
-            lists.listed(!told, entries);
+            lists.endpointsChanged(!told, entries);
             told = true;
         }
         report();
--- a/src/main/java/slipfield/front/amqp/Publications.java
+++ b/src/main/java/slipfield/front/amqp/Publications.java
@@ -20,9 +20,9 @@
 import slipfield.amqp.ReturnHeaders;
 import slipfield.config.BadInput;
 import slipfield.config.Config;
-import slipfield.core.Desk;
-import slipfield.core.Front;
-import slipfield.core.Outcome;
+import slipfield.core.AnswerChannel;
+import slipfield.core.Frontend;
+import slipfield.core.MessageIntake;
 import slipfield.journal.AnswerRecipient;
 import slipfield.journal.PendingMessage;
 import slipfield.journal.PendingAnswer;
@@ -33,7 +33,7 @@
  * delivered; else {@code basic.return} with what became of it, then {@code basic.nack}. A publisher that is gone is owed
  * nothing: it will publish again, and an id that is known then is not taken twice.
  */
-public final class Publications implements Front, Outcome, Publishing {
+public final class Publications implements Frontend, AnswerChannel, Publishing {
     /** The outcome's name in claims. */
     public static final String NAME = "amqp";
 
@@ -45,7 +45,7 @@
     private final List<Taken> taken = new ArrayList<>();
     /** Channels with confirms that were not sent yet. */
     private final Set<Publisher> due = new LinkedHashSet<>();
-    private Desk desk;
+    private MessageIntake desk;
     private Reading reading;
     private Brokers brokers;
     private volatile List<InetSocketAddress> addresses = List.of();
@@ -66,7 +66,7 @@
     }
 
     /** Hands in at this desk, also what these brokers deliver. */
-    public void over(Desk at, Brokers from) {
+    public void over(MessageIntake at, Brokers from) {
         desk = at;
         brokers = from;
         reading = new Reading(at);
@@ -98,7 +98,7 @@
     }
 
     @Override
-    public int clients() {
+    public int openConnections() {
         return server.busy();
     }
 
@@ -121,18 +121,18 @@
         }
     }
 
-    private void handIn(Publisher from, Publication p, Desk.Submission submission) {
+    private void handIn(Publisher from, Publication p, MessageIntake.Submission submission) {
         String id = submission.id();
         if (taken.stream().anyMatch(t -> t.held.id.equals(id))) {
             // What is said of an id must be true of the journal.
             turned();
         }
-        Optional<Desk.Known> before = desk.before(id, submission.claims().get(0));
+        Optional<MessageIntake.DuplicateState> before = desk.checkDuplicate(id, submission.recipients().get(0));
         if (before.isPresent()) {
             switch (before.get()) {
-                case HELD -> await(from, p, id);
+                case PENDING -> await(from, p, id);
                 case DELIVERED -> end(from, p, true);
-                case ENDED -> failed(from, p, "this message-id was refused or failed a moment ago");
+                case UNDELIVERED -> failed(from, p, "this message-id was refused or failed a moment ago");
                 default -> throw new IllegalStateException();
             }
             return;
@@ -141,9 +141,9 @@
             refused(from, p, ReplyCode.NO_CONSUMERS, "nothing serves destination " + submission.destination() + " yet", 0);
             return;
         }
-        Desk.Taking taking = desk.take(submission);
-        if (taking.held().isPresent()) {
-            taken.add(new Taken(taking.held().get(), from, p));
+        MessageIntake.SubmissionResult taking = desk.submit(submission);
+        if (taking.message().isPresent()) {
+            taken.add(new Taken(taking.message().get(), from, p));
             await(from, p, id);
         } else {
             refused(from, p, ReplyCode.RESOURCE_ERROR, taking.reason(), taking.waitMs());
@@ -159,12 +159,12 @@
     @Override
     public void turned() {
         if (!taken.isEmpty()) {
-            boolean written = desk.written();
+            boolean written = desk.writeAccepted();
             List<Taken> told = List.copyOf(taken);
             taken.clear();
             for (Taken t : told) {
-                boolean recorded = written || desk.recorded(t.held);
-                desk.answered(t.held, recorded);
+                boolean recorded = written || desk.isRecorded(t.held);
+                desk.acceptanceReported(t.held, recorded);
                 if (!recorded) {
                     publications(t.from, t.held.id).forEach(p -> refused(t.from, p, ReplyCode.RESOURCE_ERROR, "no room", 0));
                 }
@@ -187,14 +187,14 @@
             if (!taken.isEmpty()) {
                 turned();
             }
-            desk.left(NAME, publisher.peer());
+            desk.recipientGone(NAME, publisher.peer());
         }
     }
 
     // ---- ends ----
 
     @Override
-    public void owe(PendingAnswer answer) {
+    public void enqueue(PendingAnswer answer) {
         Waiting waits = waiting.get(answer.recipient().peer());
         if (waits != null) {
             PendingMessage.Notice notice = answer.message().pendingNotice.orElseThrow();
@@ -238,7 +238,7 @@
 
     /** What is not confirmed yet is not over yet: the core counts that itself. */
     @Override
-    public int owed() {
+    public int pendingCount() {
         return 0;
     }
 }
--- a/src/main/java/slipfield/front/amqp/Reading.java
+++ b/src/main/java/slipfield/front/amqp/Reading.java
@@ -7,7 +7,7 @@
 import slipfield.amqp.decide.RoutingTable;
 import slipfield.amqp.Publication;
 import slipfield.config.BadInput;
-import slipfield.core.Desk;
+import slipfield.core.MessageIntake;
 import slipfield.journal.AnswerRecipient;
 
 /** What a publication hands in, checked. */
@@ -15,9 +15,9 @@
     private static final String KEY = "idempotency-key";
     private static final String TENANT = "tenant";
 
-    private final Desk desk;
+    private final MessageIntake desk;
 
-    Reading(Desk desk) {
+    Reading(MessageIntake desk) {
         this.desk = desk;
     }
 
@@ -26,7 +26,7 @@
      *
      * @param ownId used where it has no message-id: nobody can hand it in again under that one
      */
-    Desk.Submission read(Publication p, RoutingTable.Target target, String ownId, AnswerRecipient claim) throws BadInput {
+    MessageIntake.Submission read(Publication p, RoutingTable.Target target, String ownId, AnswerRecipient claim) throws BadInput {
         Properties properties = p.properties();
         String user = properties.text(Property.USER_ID);
         if (!user.isEmpty() && !user.equals(p.user().name())) {
@@ -46,7 +46,7 @@
         if (!desk.knowsTenant(tenant)) {
             throw new BadInput("no tenant '" + tenant + "'; set the header tenant, or the user's in the operator's file");
         }
-        return new Desk.Submission(id.isBlank() ? ownId : id, target.messageClass(), tenant, key, target.destination(),
+        return new MessageIntake.Submission(id.isBlank() ? ownId : id, target.messageClass(), tenant, key, target.destination(),
                 budgetMs(properties.text(Property.EXPIRATION)), p.body(), List.of(claim));
     }
 
--- a/src/main/java/slipfield/front/http/Intake.java
+++ b/src/main/java/slipfield/front/http/Intake.java
@@ -41,9 +41,9 @@
 import java.util.concurrent.TimeUnit;
 import slipfield.config.BadInput;
 import slipfield.config.Config;
-import slipfield.core.Desk;
-import slipfield.core.Follow;
-import slipfield.core.Front;
+import slipfield.core.AnswerPolling;
+import slipfield.core.Frontend;
+import slipfield.core.MessageIntake;
 import slipfield.journal.AnswerRecipient;
 import slipfield.journal.PendingMessage;
 import slipfield.log.Log;
@@ -62,7 +62,7 @@
  * byte, the first request of a connection so long after connecting, and one between requests is kept for a
  * while only. When there are too many, those that never asked anything make room first.
  */
-public final class Intake implements Front {
+public final class Intake implements Frontend {
     private static final int LONGEST_BODY = 64 * 1024;
     private static final long SWEEP_MS = 200;
     /** One in so many connections may follow ends. */
@@ -78,7 +78,7 @@
     private static final int LONGEST_READ = 16 * 1024;
 
     private final EventLoop loop;
-    private final Desk desk;
+    private final MessageIntake desk;
     private final Hints hints;
     private final Reading reading;
     private final InetSocketAddress address;
@@ -110,18 +110,18 @@
      * @param waitScope whether a refusal tells what its wait holds for
      * @param follow where ends are asked for; absent: nowhere
      */
-    public record Hints(long reconnectMs, boolean waitScope, Optional<Follow> follow) {
+    public record Hints(long reconnectMs, boolean waitScope, Optional<AnswerPolling> follow) {
         /** The protocol alone. */
         public static final Hints NONE = new Hints(-1, false, Optional.empty());
     }
 
     /** Will listen at this address, with so many connections of clients at most. */
-    public Intake(EventLoop loop, InetSocketAddress address, int mostClients, Desk desk) {
+    public Intake(EventLoop loop, InetSocketAddress address, int mostClients, MessageIntake desk) {
         this(loop, address, mostClients, desk, Hints.NONE);
     }
 
     /** The same with further words to clients. */
-    public Intake(EventLoop loop, InetSocketAddress address, int mostClients, Desk desk, Hints hints) {
+    public Intake(EventLoop loop, InetSocketAddress address, int mostClients, MessageIntake desk, Hints hints) {
         this.hints = hints;
         this.reading = new Reading(desk, hints.follow());
         this.address = address;
@@ -198,7 +198,7 @@
     public void close() {
         closing = true;
         crowd.closing();
-        hints.follow().ifPresent(Follow::release);
+        hints.follow().ifPresent(AnswerPolling::release);
         // Told behind the connections that were accepted last.
         listener.closeFuture().addListener(closed -> loop.execute(() -> accepting = false));
         listener.closeFuture().addListener(closed -> acceptLoop.end());
@@ -264,7 +264,7 @@
     }
 
     @Override
-    public int clients() {
+    public int openConnections() {
         return crowd.size();
     }
 
@@ -288,15 +288,15 @@
         if (taken.isEmpty()) {
             return;
         }
-        boolean written = desk.written();
+        boolean written = desk.writeAccepted();
         List<Taken> told = List.copyOf(taken);
         taken.clear();
         for (Taken t : told) {
-            if (written || desk.recorded(t.held)) {
+            if (written || desk.isRecorded(t.held)) {
                 t.client.end(t.keepAlive, answer(HttpResponseStatus.ACCEPTED, ""))
-                        .addListener(f -> desk.answered(t.held, f.isSuccess()));
+                        .addListener(f -> desk.acceptanceReported(t.held, f.isSuccess()));
             } else {
-                desk.answered(t.held, false);
+                desk.acceptanceReported(t.held, false);
                 t.client.end(t.keepAlive, answer(HttpResponseStatus.SERVICE_UNAVAILABLE, "no room"));
             }
         }
@@ -358,7 +358,7 @@
         /** Reads that were not looked at yet: there may be a whole request in them. */
         private int unread;
         /** FOLLOWING: what it waits for. */
-        private Follow.Asked asked;
+        private AnswerPolling.Poll asked;
 
         Client(Channel channel) {
             this.channel = channel;
@@ -456,7 +456,7 @@
         }
 
         private void handIn(FullHttpRequest request, String path) {
-            Desk.Submission submission;
+            MessageIntake.Submission submission;
             try {
                 submission = reading.read(request, path.split("/", 3)[1]);
             } catch (BadInput bad) {
@@ -468,12 +468,12 @@
             if (awaited(this, id)) {
                 settle();
             }
-            Optional<Desk.Known> before = Optional.empty();
-            for (AnswerRecipient claim : submission.claims()) {
-                before = desk.before(id, claim);
+            Optional<MessageIntake.DuplicateState> before = Optional.empty();
+            for (AnswerRecipient claim : submission.recipients()) {
+                before = desk.checkDuplicate(id, claim);
             }
             if (before.isPresent()) {
-                end(request, before.get() == Desk.Known.ENDED ? HttpResponseStatus.CONFLICT
+                end(request, before.get() == MessageIntake.DuplicateState.UNDELIVERED ? HttpResponseStatus.CONFLICT
                         : HttpResponseStatus.ACCEPTED, "");
                 return;
             }
@@ -485,9 +485,9 @@
             if (seat.state() == Crowd.State.VISITING) {
                 enter(Crowd.State.IDLE);
             }
-            Desk.Taking taking = desk.take(submission);
-            if (taking.held().isPresent()) {
-                taken.add(new Taken(this, taking.held().get(), HttpUtil.isKeepAlive(request)));
+            MessageIntake.SubmissionResult taking = desk.submit(submission);
+            if (taking.message().isPresent()) {
+                taken.add(new Taken(this, taking.message().get(), HttpUtil.isKeepAlive(request)));
             } else {
                 FullHttpResponse refusal = answer(HttpResponseStatus.SERVICE_UNAVAILABLE, taking.reason());
                 if (taking.waitMs() > 0) {
@@ -501,7 +501,7 @@
         }
 
         /** A long poll for ends: answered when there is one, when its time is over, or when the sender ends. */
-        private void follow(FullHttpRequest request, Follow ends) {
+        private void follow(FullHttpRequest request, AnswerPolling ends) {
             QueryStringDecoder query = new QueryStringDecoder(request.uri());
             String peer = parameter(query, "client");
             if (peer.isEmpty() || !parameter(query, "wait_ms").matches("[0-9]{0,6}")) {
@@ -517,7 +517,7 @@
             // Read no further: its next request comes after this one's answer.
             channel.config().setAutoRead(false);
             String waitMs = parameter(query, "wait_ms");
-            asked = ends.ask(peer, parameter(query, "after"), waitMs.isEmpty() ? 0 : Long.parseLong(waitMs), lines -> {
+            asked = ends.poll(peer, parameter(query, "after"), waitMs.isEmpty() ? 0 : Long.parseLong(waitMs), lines -> {
                 asked = null;
                 enter(Crowd.State.IDLE);
                 channel.config().setAutoRead(true);
--- a/src/main/java/slipfield/front/http/Reading.java
+++ b/src/main/java/slipfield/front/http/Reading.java
@@ -7,8 +7,8 @@
 import java.util.Optional;
 import java.util.regex.Pattern;
 import slipfield.config.BadInput;
-import slipfield.core.Desk;
-import slipfield.core.Follow;
+import slipfield.core.AnswerPolling;
+import slipfield.core.MessageIntake;
 import slipfield.journal.AnswerRecipient;
 
 /** What a request hands in, checked. */
@@ -22,16 +22,16 @@
     /** The id goes into the journal and on to endpoints; one that is longer is no id. */
     private static final int LONGEST_ID = 256;
 
-    private final Desk desk;
-    private final Optional<Follow> follow;
+    private final MessageIntake desk;
+    private final Optional<AnswerPolling> follow;
 
-    Reading(Desk desk, Optional<Follow> follow) {
+    Reading(MessageIntake desk, Optional<AnswerPolling> follow) {
         this.desk = desk;
         this.follow = follow;
     }
 
     /** The submission in a request to the class that its path names; an error says what is wrong with it. */
-    Desk.Submission read(FullHttpRequest request, String inPath) throws BadInput {
+    MessageIntake.Submission read(FullHttpRequest request, String inPath) throws BadInput {
         HttpHeaders headers = request.headers();
         String id = required(headers, "X-Call-Id");
         if (id.length() > LONGEST_ID) {
@@ -53,7 +53,7 @@
         if (budgetMs < 1) {
             throw new BadInput("X-Budget-Ms leaves no time");
         }
-        return new Desk.Submission(id, messageClass, tenant, key, destination(headers), budgetMs,
+        return new MessageIntake.Submission(id, messageClass, tenant, key, destination(headers), budgetMs,
                 ByteBufUtil.getBytes(request.content()), claims(headers));
     }
 
@@ -62,7 +62,7 @@
         if (peer.length() > LONGEST_ID) {
             throw new BadInput(FOLLOWED_BY + " is too long");
         }
-        return peer.isBlank() ? PLATFORM : List.of(AnswerRecipient.PLATFORM, follow.get().claim(peer));
+        return peer.isBlank() ? PLATFORM : List.of(AnswerRecipient.PLATFORM, follow.get().recipient(peer));
     }
 
     private static long destination(HttpHeaders headers) throws BadInput {
--- a/src/main/java/slipfield/log/Limit.java
+++ b/src/main/java/slipfield/log/EventRateLimit.java
@@ -1,7 +1,7 @@
 package slipfield.log;
 
 /** How often one event is told: a token bucket of ten, filled by one a second. */
-final class Limit {
+final class EventRateLimit {
     private static final long MOST = 10;
     private static final long EVERY_MS = 1000;
 
@@ -15,7 +15,7 @@
      *
      * @return how many were passed over before it; -1: it is passed over too
      */
-    synchronized long pass(long nowMs) {
+    synchronized long acquire(long nowMs) {
         if (!begun) {
             begun = true;
             filledMs = nowMs;
--- a/src/main/java/slipfield/log/Backend.java
+++ b/src/main/java/slipfield/log/JdkBackend.java
@@ -11,19 +11,19 @@
  * since the JDK takes all handlers away as soon as the process is told to end, seconds before it does. The root's
  * handler and formatter, which would cost a start some 50 ms of CPU, are not asked for.
  */
-final class Backend extends Handler {
+final class JdkBackend extends Handler {
     private static final String OWN = "slipfield";
     /** The libraries' loggers; held here, since the JDK forgets what nobody holds. */
     private static final Logger[] PARENTS = {Logger.getLogger(OWN), Logger.getLogger("io.netty")};
 
     private final Layout layout;
 
-    private Backend(Layout layout) {
+    private JdkBackend(Layout layout) {
         this.layout = layout;
     }
 
     static org.slf4j.Logger logger(Layout layout) {
-        Backend backend = new Backend(layout);
+        JdkBackend backend = new JdkBackend(layout);
         for (Logger parent : PARENTS) {
             parent.setUseParentHandlers(false);
             parent.addHandler(backend);
--- a/src/main/java/slipfield/log/Log.java
+++ b/src/main/java/slipfield/log/Log.java
@@ -13,8 +13,8 @@
  */
 public final class Log {
     private static final Layout LAYOUT = Layout.named(System.getenv("SLIPFIELD_LOG"));
-    private static final Logger LOGGER = Backend.logger(LAYOUT);
-    private static final Map<String, Limit> LIMITS = new ConcurrentHashMap<>();
+    private static final Logger LOGGER = JdkBackend.logger(LAYOUT);
+    private static final Map<String, EventRateLimit> LIMITS = new ConcurrentHashMap<>();
 
     private Log() {
     }
@@ -22,7 +22,7 @@
     /** Something changed that is as it should be. */
     public static void info(String event, Object... fields) {
         if (LOGGER.isInfoEnabled()) {
-            Backend.print(LAYOUT.line("info", event, fields));
+            JdkBackend.print(LAYOUT.line("info", event, fields));
         }
     }
 
@@ -30,7 +30,7 @@
     public static void warn(String event, Object... fields) {
         Object[] told = bounded(event, fields);
         if (told != null && LOGGER.isWarnEnabled()) {
-            Backend.print(LAYOUT.line("warn", event, told));
+            JdkBackend.print(LAYOUT.line("warn", event, told));
         }
     }
 
@@ -38,13 +38,13 @@
     public static void error(String event, Object... fields) {
         Object[] told = bounded(event, fields);
         if (told != null && LOGGER.isErrorEnabled()) {
-            Backend.print(LAYOUT.line("error", event, told));
+            JdkBackend.print(LAYOUT.line("error", event, told));
         }
     }
 
     /** The fields to tell, with how many events were passed over before; null: this one is passed over too. */
     private static Object[] bounded(String event, Object... fields) {
-        long passedOver = LIMITS.computeIfAbsent(event, e -> new Limit()).pass(System.nanoTime() / 1_000_000);
+        long passedOver = LIMITS.computeIfAbsent(event, e -> new EventRateLimit()).acquire(System.nanoTime() / 1_000_000);
         if (passedOver <= 0) {
             return passedOver < 0 ? null : fields;
         }
--- a/src/main/java/slipfield/outcome/Notices.java
+++ b/src/main/java/slipfield/outcome/PlatformNotices.java
@@ -20,7 +20,7 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import slipfield.agent.Agent;
-import slipfield.core.Outcome;
+import slipfield.core.AnswerChannel;
 import slipfield.journal.PendingMessage;
 import slipfield.journal.PendingAnswer;
 import slipfield.log.Log;
@@ -32,7 +32,7 @@
  * that none waits for the answer to those before it. Guards against a loop that is late: each answer takes it
  * another round.
  */
-public final class Notices implements Outcome {
+public final class PlatformNotices implements AnswerChannel {
     private static final int MOST_IN_BATCH = 1000;
     /** A body holds 64 KiB at most. */
     private static final int LONGEST_BATCH = 60_000;
@@ -60,14 +60,14 @@
         }
     }
 
-    public Notices(EventLoop loop, Supplier<Agent> agents, Consumer<PendingAnswer> heard) {
+    public PlatformNotices(EventLoop loop, Supplier<Agent> agents, Consumer<PendingAnswer> heard) {
         this.loop = loop;
         this.agents = agents;
         this.heard = heard;
     }
 
     @Override
-    public void owe(PendingAnswer answer) {
+    public void enqueue(PendingAnswer answer) {
         owed.add(answer);
     }
 
@@ -98,7 +98,7 @@
     }
 
     /** Tells another agent from now on, at once, also what the old one was told and has not answered. */
-    public void moveTo(Supplier<Agent> others) {
+    public void switchAgent(Supplier<Agent> others) {
         agents = others;
         for (Lane lane : lanes) {
             lane.agent.close();
@@ -116,7 +116,7 @@
     }
 
     @Override
-    public int owed() {
+    public int pendingCount() {
         int out = 0;
         for (Lane lane : lanes) {
             out += lane.batch.size();
--- a/src/main/java/slipfield/outcome/ends/Ends.java
+++ b/src/main/java/slipfield/outcome/ends/ClientAnswers.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import slipfield.core.Follow;
-import slipfield.core.Outcome;
+import slipfield.core.AnswerChannel;
+import slipfield.core.AnswerPolling;
 import slipfield.journal.AnswerRecipient;
 import slipfield.journal.PendingMessage;
 import slipfield.journal.PendingAnswer;
@@ -25,7 +25,7 @@
  * Ends for clients that follow them. Each is told until its cursor came back; a cursor is of one life of the sender, and in
  * the next one all that was not heard is told again, in the journal's order: an end that is told twice does no harm.
  */
-public final class Ends implements Outcome, Follow {
+public final class ClientAnswers implements AnswerChannel, AnswerPolling {
     /** The outcome's name in claims. */
     public static final String NAME = "ends";
     /** What an end costs besides its body, in bytes. */
@@ -35,7 +35,7 @@
     private static final long SWEEP_MS = 1000;
 
     private final EventLoop loop;
-    private final ClientsConfig.Keep keep;
+    private final ClientsConfig.Retention keep;
     private final Consumer<PendingAnswer> heard;
     private final String epoch;
     private final JsonMapper json = JsonMapper.builder().build();
@@ -58,7 +58,7 @@
         private Waiting waiting;
     }
 
-    private final class Waiting implements Asked {
+    private final class Waiting implements Poll {
         private final String peer;
         private final Consumer<String> then;
         private Future<?> timer;
@@ -92,7 +92,7 @@
      * @param epoch another in each life
      * @param heard is told of each that needs not be kept any more
      */
-    public Ends(EventLoop loop, ClientsConfig.Keep keep, String epoch, Consumer<PendingAnswer> heard) {
+    public ClientAnswers(EventLoop loop, ClientsConfig.Retention keep, String epoch, Consumer<PendingAnswer> heard) {
         this.loop = loop;
         this.keep = keep;
         this.epoch = epoch;
@@ -101,18 +101,18 @@
     }
 
     @Override
-    public AnswerRecipient claim(String peer) {
+    public AnswerRecipient recipient(String peer) {
         return new AnswerRecipient(NAME, peer, true, true);
     }
 
     @Override
-    public void owe(PendingAnswer answer) {
+    public void enqueue(PendingAnswer answer) {
         Entry entry = new Entry(next++, answer, System.nanoTime());
         all.put(entry.place, entry);
         bytes += entry.size();
         peers.computeIfAbsent(answer.recipient().peer(), p -> new Peer()).entries.addLast(entry);
         int dropped = 0;
-        while (all.size() > keep.most() || bytes > keep.mostBytes() && all.size() > 1) {
+        while (all.size() > keep.maxAnswers() || bytes > keep.maxBytes() && all.size() > 1) {
             drop(all.values().iterator().next());
             dropped++;
         }
@@ -133,12 +133,12 @@
 
     /** Ends are kept in the journal: a sender that ends waits for nobody to hear them but who listens now. */
     @Override
-    public int owed() {
+    public int pendingCount() {
         return 0;
     }
 
     @Override
-    public Asked ask(String name, String after, long waitMs, Consumer<String> then) {
+    public Poll poll(String name, String after, long waitMs, Consumer<String> then) {
         Peer peer = peers.computeIfAbsent(name, n -> new Peer());
         acknowledge(peer, after);
         if (peer.waiting != null) {
@@ -245,7 +245,7 @@
     }
 
     /** Ends that were not heard yet. */
-    public int kept() {
+    public int retainedCount() {
         return all.size();
     }
 }
--- a/src/main/java/slipfield/trace/Trace.java
+++ b/src/main/java/slipfield/trace/Trace.java
@@ -80,7 +80,7 @@
     }
 
     /** A turn took so long, by the wall clock. */
-    public void turn(long nanos) {
+    public void iteration(long nanos) {
         turns++;
         longestNanos = Math.max(longestNanos, nanos);
         long now = System.nanoTime();
--- a/src/main/java/slipfield/transport/amqp/Queues.java
+++ b/src/main/java/slipfield/transport/amqp/Queues.java
@@ -33,11 +33,11 @@
     private final EventLoop loop;
     /** By name, those of whoever came so far: one that left is told of once more. */
     private final Map<String, AmqpConfig.Queue> queues = new HashMap<>();
-    private final Ends ends;
+    private final AttemptListener ends;
     private final ConsumerRegistry consumers;
     private final Map<String, Line> lines = new HashMap<>();
     private final Map<Long, String> endpoints = new HashMap<>();
-    private Lists lists;
+    private EndpointListener lists;
     private Future<?> tick;
 
     /** One that is here, and the attempts that wait for it. */
@@ -51,7 +51,7 @@
     }
 
     /** {@code awayMs}: one that left is remembered for so long. */
-    public Queues(EventLoop loop, long awayMs, Ends ends) {
+    public Queues(EventLoop loop, long awayMs, AttemptListener ends) {
         this.loop = loop;
         this.ends = ends;
         this.consumers = new ConsumerRegistry(awayMs);
@@ -61,7 +61,7 @@
 
     /** There is nothing to watch: consumers come by themselves. */
     @Override
-    public void start(Lists to) {
+    public void start(EndpointListener to) {
         lists = to;
     }
 
@@ -93,7 +93,7 @@
     }
 
     private void tell(List<ConsumerRegistry.EndpointUpdate> changed) {
-        lists.listed(false, changed.stream().map(entry -> {
+        lists.endpointsChanged(false, changed.stream().map(entry -> {
             AmqpConfig.Queue queue = queues.get(entry.queue());
             return new Entry(entry.name(), new ConsumerAddress(entry.name()), queue.zone(), queue.kind(), queue.destination(),
                     entry.inService(), 0, entry.removed());
@@ -133,7 +133,7 @@
     }
 
     @Override
-    public void at(long endpoint, SocketAddress address, boolean serving) {
+    public void updateEndpoint(long endpoint, SocketAddress address, boolean serving) {
         endpoints.put(endpoint, ((ConsumerAddress) address).name());
     }
 
@@ -201,7 +201,7 @@
         }
 
         @Override
-        public PendingMessage held() {
+        public PendingMessage message() {
             return held;
         }
 
--- a/src/main/java/slipfield/transport/http/Endpoints.java
+++ b/src/main/java/slipfield/transport/http/Endpoints.java
@@ -79,7 +79,7 @@
             DefaultHttpHeadersFactory.headersFactory().withNameValidation(false);
 
     private final EventLoop loop;
-    private final Ends ends;
+    private final AttemptListener ends;
     private final Bootstrap bootstrap;
     private final long idleNanos;
     private final int mostIdle;
@@ -88,7 +88,7 @@
     /** Absent unless the sender is traced. */
     private Trace trace;
 
-    public Endpoints(EventLoop loop, double dialMs, double keepAliveMs, int mostIdle, Ends ends) {
+    public Endpoints(EventLoop loop, double dialMs, double keepAliveMs, int mostIdle, AttemptListener ends) {
         this.loop = loop;
         this.ends = ends;
         this.idleNanos = (long) (keepAliveMs * IDLE_SHARE * 1e6);
@@ -136,7 +136,7 @@
 
     /** An endpoint is at this address from now on; connections to another one are of no more use. */
     @Override
-    public void at(long endpoint, SocketAddress at, boolean serving) {
+    public void updateEndpoint(long endpoint, SocketAddress at, boolean serving) {
         InetSocketAddress address = (InetSocketAddress) at;
         Peer peer = peers.computeIfAbsent(endpoint, e -> new Peer());
         if (!serving || !address.equals(peer.address)) {
@@ -287,7 +287,7 @@
         }
 
         @Override
-        public PendingMessage held() {
+        public PendingMessage message() {
             return held;
         }
 
--- a/src/test/java/slipfield/core/CatalogueTest.java
+++ b/src/test/java/slipfield/core/EndpointCatalogueTest.java
@@ -12,27 +12,27 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-class CatalogueTest {
+class EndpointCatalogueTest {
     private static Directory.Entry entry(String id, boolean gone) {
         return new Directory.Entry(id, new InetSocketAddress(InetAddress.getLoopbackAddress(), 1), "a", "m", 7, !gone,
                 0, gone);
     }
 
-    private static Set<String> ids(Catalogue.Change change) {
+    private static Set<String> ids(EndpointCatalogue.Change change) {
         return change.entries().stream().map(Directory.Entry::id).collect(Collectors.toSet());
     }
 
     @Test
     void oneDirectorysWordStandsAsItIs() {
         List<Directory.Entry> told = List.of(entry("s-1", false));
-        Catalogue.Change change = new Catalogue(List.of("platform")).listed("platform", true, told);
+        EndpointCatalogue.Change change = new EndpointCatalogue(List.of("platform")).listed("platform", true, told);
         assertTrue(change.whole());
         assertSame(told, change.entries());
     }
 
     @Test
     void aWholeListOfOneLeavesTheOthersStanding() {
-        Catalogue all = new Catalogue(List.of("platform", "consul"));
+        EndpointCatalogue all = new EndpointCatalogue(List.of("platform", "consul"));
         all.listed("platform", true, List.of(entry("s-1", false), entry("s-2", false)));
         assertEquals(Set.of("s-1", "s-2", "consul/s-1"),
                 ids(all.listed("consul", true, List.of(entry("s-1", false)))));
@@ -43,12 +43,12 @@
 
     @Test
     void aChangeIsToldAloneAndRemembered() {
-        Catalogue all = new Catalogue(List.of("platform", "consul"));
+        EndpointCatalogue all = new EndpointCatalogue(List.of("platform", "consul"));
         all.listed("platform", true, List.of(entry("s-1", false)));
-        Catalogue.Change change = all.listed("consul", false, List.of(entry("c-1", false)));
+        EndpointCatalogue.Change change = all.listed("consul", false, List.of(entry("c-1", false)));
         assertFalse(change.whole());
         assertEquals(Set.of("consul/c-1"), ids(change));
-        Catalogue.Change gone = all.listed("platform", false, List.of(entry("s-1", true)));
+        EndpointCatalogue.Change gone = all.listed("platform", false, List.of(entry("s-1", true)));
         assertEquals(Set.of("s-1"), ids(gone));
         assertTrue(gone.entries().get(0).gone());
         assertEquals(Set.of("consul/c-1", "s-3"), ids(all.listed("platform", true, List.of(entry("s-3", false)))));
--- a/src/test/java/slipfield/core/SenderPortsTest.java
+++ b/src/test/java/slipfield/core/SenderPortsTest.java
@@ -49,19 +49,19 @@
     private Sender sender;
 
     /** Every port, in memory. What is out stays out until the test ends it. */
-    private final class World implements Parts {
+    private final class World implements SenderComponents {
         private final List<Out> out = new CopyOnWriteArrayList<>();
         private final List<String> told = new CopyOnWriteArrayList<>();
-        private final Map<String, Directory.Lists> directories = new HashMap<>();
+        private final Map<String, Directory.EndpointListener> directories = new HashMap<>();
         private final Map<Long, InetSocketAddress> serving = new HashMap<>();
         /** Outcomes that answer; others keep what they are owed. */
         private final List<String> hearing = new CopyOnWriteArrayList<>(List.of("platform", "queue"));
         private List<String> names = List.of("platform");
-        private final List<Front> fronts = new ArrayList<>();
-        private Transport.Ends ends;
-        private Desk desk;
+        private final List<Frontend> fronts = new ArrayList<>();
+        private Transport.AttemptListener ends;
+        private MessageIntake desk;
 
-        private record Out(PendingMessage held, int number, long startedNanos, Transport.Ends ends)
+        private record Out(PendingMessage message, int number, long startedNanos, Transport.AttemptListener ends)
                 implements Transport.Attempt {
             @Override
             public void cancel() {
@@ -70,7 +70,7 @@
         }
 
         @Override
-        public Transport transport(EventLoop loop, Transport.Ends told) {
+        public Transport transport(EventLoop loop, Transport.AttemptListener told) {
             ends = told;
             return new Transport() {
                 @Override
@@ -78,7 +78,7 @@
                 }
 
                 @Override
-                public void at(long endpoint, SocketAddress address, boolean serves) {
+                public void updateEndpoint(long endpoint, SocketAddress address, boolean serves) {
                     serving.put(endpoint, (InetSocketAddress) address);
                 }
 
@@ -107,14 +107,14 @@
         }
 
         @Override
-        public Map<String, Outcome> outcomes(EventLoop loop, Consumer<PendingAnswer> heard) {
-            Map<String, Outcome> all = new LinkedHashMap<>();
+        public Map<String, AnswerChannel> answerChannels(EventLoop loop, Consumer<PendingAnswer> heard) {
+            Map<String, AnswerChannel> all = new LinkedHashMap<>();
             for (String name : List.of("platform", "queue")) {
-                all.put(name, new Outcome() {
+                all.put(name, new AnswerChannel() {
                     private int kept;
 
                     @Override
-                    public void owe(PendingAnswer answer) {
+                    public void enqueue(PendingAnswer answer) {
                         if (!hearing.contains(name)) {
                             kept++;
                             return;
@@ -129,7 +129,7 @@
                     }
 
                     @Override
-                    public int owed() {
+                    public int pendingCount() {
                         return kept;
                     }
                 });
@@ -143,9 +143,9 @@
             for (String name : names) {
                 all.put(name, new Directory() {
                     @Override
-                    public void start(Lists lists) {
+                    public void start(EndpointListener lists) {
                         directories.put(name, lists);
-                        lists.listed(true, List.of(entry(name + "-s", 7)));
+                        lists.endpointsChanged(true, List.of(entry(name + "-s", 7)));
                     }
 
                     @Override
@@ -158,17 +158,17 @@
         }
 
         @Override
-        public List<Front> fronts(EventLoop loop, Desk core) {
+        public List<Frontend> frontends(EventLoop loop, MessageIntake core) {
             desk = core;
             return fronts;
         }
 
         @Override
-        public void traced(Trace trace) {
+        public void enableTrace(Trace trace) {
         }
 
         @Override
-        public void rehearse(EventLoop loop, long mostMs, Runnable then) {
+        public void warmUp(EventLoop loop, long mostMs, Runnable then) {
             then.run();
         }
     }
@@ -217,14 +217,14 @@
     /** A front's way to hand in: what is known of the id first, then the message itself. */
     private String handIn(String id, String type, AnswerRecipient claim) {
         return on(() -> {
-            Optional<Desk.Known> known = world.desk.before(id, claim);
+            Optional<MessageIntake.DuplicateState> known = world.desk.checkDuplicate(id, claim);
             if (known.isPresent()) {
                 return known.get().name();
             }
-            Desk.Taking taking = world.desk.take(new Desk.Submission(id, type, "acme", Optional.empty(), 7, 20_000,
+            MessageIntake.SubmissionResult taking = world.desk.submit(new MessageIntake.Submission(id, type, "acme", Optional.empty(), 7, 20_000,
                     new byte[] {1}, List.of(claim)));
-            taking.held().ifPresent(held -> world.desk.answered(held, world.desk.written()));
-            return taking.held().isPresent() ? "taken" : taking.reason();
+            taking.message().ifPresent(held -> world.desk.acceptanceReported(held, world.desk.writeAccepted()));
+            return taking.message().isPresent() ? "taken" : taking.reason();
         });
     }
 
@@ -283,7 +283,7 @@
     }
 
     /** One connection, on which a request has been read and has no answer yet; it is answered in a later turn. */
-    private final class ReadAndUnanswered implements Front {
+    private final class ReadAndUnanswered implements Frontend {
         private final EventLoop on = sender.loop();
         private int clients = 1;
         private boolean asked;
@@ -306,7 +306,7 @@
         }
 
         @Override
-        public int clients() {
+        public int openConnections() {
             return clients;
         }
     }
@@ -319,14 +319,14 @@
         front.asked = !answered;
         on(() -> world.fronts.add(front));
         sender.drain();
-        assertEquals(answered ? 0 : 1, on(front::clients));
+        assertEquals(answered ? 0 : 1, on(front::openConnections));
     }
 
     @Test
     void theSameIdByTwoFrontsIsOneMessageAndEachIsToldOnce() throws Exception {
         assertEquals("taken", handIn("one", "once", AnswerRecipient.PLATFORM));
-        assertEquals("HELD", handIn("one", "once", ASKS));
-        assertEquals("HELD", handIn("one", "once", ASKS));
+        assertEquals("PENDING", handIn("one", "once", ASKS));
+        assertEquals("PENDING", handIn("one", "once", ASKS));
         end(DeliveryPolicy.AttemptOutcome.ERROR);
         awaitTold("one platform FAILED", "one queuedesk-1 FAILED");
         assertTrue(world.out.isEmpty(), "one message, one attempt");
@@ -335,7 +335,7 @@
     @Test
     void aClaimOutlivesTheProcess() throws Exception {
         assertEquals("taken", handIn("one", "order", ASKS));
-        assertEquals("HELD", handIn("one", "order", DROPS));
+        assertEquals("PENDING", handIn("one", "order", DROPS));
         restart();
         end(DeliveryPolicy.AttemptOutcome.DELIVERED);
         awaitTold("one queuedesk-1 DELIVERED", "one queuedesk-2 DELIVERED");
@@ -346,15 +346,15 @@
     @Test
     void whatASecondFrontWasToldIsHeldIsNotWithdrawnWhenTheFirstOneGoes() throws Exception {
         String known = on(() -> {
-            PendingMessage held = world.desk.take(new Desk.Submission("one", "once", "acme", Optional.empty(), 7, 20_000,
-                    new byte[] {1}, List.of(DROPS))).held().orElseThrow();
-            world.desk.written();
-            String second = world.desk.before("one", ASKS).orElseThrow().name();
+            PendingMessage held = world.desk.submit(new MessageIntake.Submission("one", "once", "acme", Optional.empty(), 7, 20_000,
+                    new byte[] {1}, List.of(DROPS))).message().orElseThrow();
+            world.desk.writeAccepted();
+            String second = world.desk.checkDuplicate("one", ASKS).orElseThrow().name();
             // The first one's connection is gone before its answer was out.
-            world.desk.answered(held, false);
+            world.desk.acceptanceReported(held, false);
             return second;
         });
-        assertEquals("HELD", known);
+        assertEquals("PENDING", known);
         end(DeliveryPolicy.AttemptOutcome.DELIVERED);
         awaitTold("one queuedesk-2 DELIVERED", "one queuedesk-1 DELIVERED");
     }
@@ -364,8 +364,8 @@
         assertEquals("taken", handIn("one", "order", ASKS));
         assertEquals("taken", handIn("two", "order", DROPS));
         on(() -> {
-            world.desk.left("queue", "desk-1");
-            world.desk.left("queue", "desk-2");
+            world.desk.recipientGone("queue", "desk-1");
+            world.desk.recipientGone("queue", "desk-2");
             return null;
         });
         world.hearing.remove("queue");
@@ -382,7 +382,7 @@
     @Test
     void whoHeardBeforeTheEndOfTheProcessIsNotToldAgainWhenAnotherIs() throws Exception {
         assertEquals("taken", handIn("one", "once", AnswerRecipient.PLATFORM));
-        assertEquals("HELD", handIn("one", "once", ASKS));
+        assertEquals("PENDING", handIn("one", "once", ASKS));
         world.hearing.remove("queue");
         end(DeliveryPolicy.AttemptOutcome.ERROR);
         awaitTold("one platform FAILED");
@@ -396,7 +396,7 @@
         world.names = List.of("platform", "consul");
         restart();
         on(() -> {
-            world.directories.get("platform").listed(true, List.of(entry("platform-t", 7)));
+            world.directories.get("platform").endpointsChanged(true, List.of(entry("platform-t", 7)));
             return null;
         });
         assertEquals(2, on(() -> world.serving.size()), "the new one and the other directory's");
--- a/src/test/java/slipfield/front/amqp/PublicationsTest.java
+++ b/src/test/java/slipfield/front/amqp/PublicationsTest.java
@@ -16,7 +16,7 @@
 import slipfield.amqp.codec.Properties;
 import slipfield.amqp.codec.ReplyCode;
 import slipfield.amqp.decide.RoutingTable;
-import slipfield.core.Desk;
+import slipfield.core.MessageIntake;
 import slipfield.journal.AnswerRecipient;
 import slipfield.journal.PendingMessage;
 import slipfield.journal.PendingAnswer;
@@ -26,7 +26,7 @@
     private final List<String> told = new ArrayList<>();
     private final List<String> left = new ArrayList<>();
     private final List<PendingAnswer> heard = new ArrayList<>();
-    private final Map<String, Desk.Known> known = new HashMap<>();
+    private final Map<String, MessageIntake.DuplicateState> known = new HashMap<>();
     private final List<PendingMessage> taken = new ArrayList<>();
     private final List<String> answered = new ArrayList<>();
     private boolean writes = true;
@@ -63,7 +63,7 @@
         }
     }
 
-    private final class World implements Desk {
+    private final class World implements MessageIntake {
         @Override
         public boolean ready() {
             return true;
@@ -90,34 +90,34 @@
         }
 
         @Override
-        public Optional<Known> before(String id, AnswerRecipient claim) {
+        public Optional<DuplicateState> checkDuplicate(String id, AnswerRecipient claim) {
             return Optional.ofNullable(known.get(id));
         }
 
         @Override
-        public void left(String outcome, String peer) {
+        public void recipientGone(String outcome, String peer) {
             left.add(peer);
         }
 
         @Override
-        public Taking take(Submission s) {
+        public SubmissionResult submit(Submission s) {
             if (waitMs >= 0) {
-                return Taking.refused("no room", waitMs);
+                return SubmissionResult.refused("no room", waitMs);
             }
             PendingMessage held = new PendingMessage(taken.size(), s.id(), s.messageClass(), s.tenant(), s.key(), s.destination(),
-                    0, s.body(), s.claims().get(0));
+                    0, s.body(), s.recipients().get(0));
             taken.add(held);
-            known.put(s.id(), Known.HELD);
-            return Taking.taken(held);
+            known.put(s.id(), DuplicateState.PENDING);
+            return SubmissionResult.accepted(held);
         }
 
         @Override
-        public boolean written() {
+        public boolean writeAccepted() {
             return writes;
         }
 
         @Override
-        public void answered(PendingMessage held, boolean wasHeard) {
+        public void acceptanceReported(PendingMessage held, boolean wasHeard) {
             answered.add(held.id + " " + wasHeard);
         }
     }
@@ -134,7 +134,7 @@
     private void owe(int number, PendingMessage.FinalAnswer end, double wait) {
         PendingMessage held = taken.get(number);
         held.pendingNotice = Optional.of(new PendingMessage.Notice(end, wait));
-        front.owe(new PendingAnswer(held, held.recipients.get(0)));
+        front.enqueue(new PendingAnswer(held, held.recipients.get(0)));
         front.flush();
     }
 
@@ -194,12 +194,12 @@
         owe(0, PendingMessage.FinalAnswer.DELIVERED, 0);
         assertEquals(List.of("a1 ack", "a2 ack", "a flush"), told());
         PendingMessage held = taken.get(0);
-        front.owe(new PendingAnswer(held, new AnswerRecipient(Publications.NAME, "b", true, false)));
+        front.enqueue(new PendingAnswer(held, new AnswerRecipient(Publications.NAME, "b", true, false)));
         front.flush();
         assertEquals(List.of("b1 ack", "b flush"), told());
-        known.put("m1", Desk.Known.DELIVERED);
+        known.put("m1", MessageIntake.DuplicateState.DELIVERED);
         publish(a, 3, "m1");
-        known.put("m1", Desk.Known.ENDED);
+        known.put("m1", MessageIntake.DuplicateState.UNDELIVERED);
         publish(a, 4, "m1");
         assertEquals(List.of("a3 ack", "a4 541 failed", "a4 nack"), told());
     }
--- a/src/test/java/slipfield/front/http/IntakeTest.java
+++ b/src/test/java/slipfield/front/http/IntakeTest.java
@@ -22,7 +22,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import slipfield.core.Desk;
+import slipfield.core.MessageIntake;
 import slipfield.journal.AnswerRecipient;
 import slipfield.journal.PendingMessage;
 import slipfield.standin.Stub;
@@ -43,7 +43,7 @@
     }
 
     /** A desk that is ready and knows nothing. */
-    private static class NoDesk implements Desk {
+    private static class NoDesk implements MessageIntake {
         @Override
         public boolean ready() {
             return true;
@@ -70,26 +70,26 @@
         }
 
         @Override
-        public Optional<Known> before(String id, AnswerRecipient claim) {
+        public Optional<DuplicateState> checkDuplicate(String id, AnswerRecipient claim) {
             return Optional.empty();
         }
 
         @Override
-        public void left(String outcome, String peer) {
+        public void recipientGone(String outcome, String peer) {
         }
 
         @Override
-        public Taking take(Submission submission) {
-            return Taking.refused("no room", 0);
+        public SubmissionResult submit(Submission submission) {
+            return SubmissionResult.refused("no room", 0);
         }
 
         @Override
-        public boolean written() {
+        public boolean writeAccepted() {
             return true;
         }
 
         @Override
-        public void answered(PendingMessage held, boolean heard) {
+        public void acceptanceReported(PendingMessage held, boolean heard) {
         }
     }
 
@@ -118,9 +118,9 @@
         }
 
         @Override
-        public Taking take(Submission submission) {
+        public SubmissionResult submit(Submission submission) {
             asked.add(submission.id());
-            return super.take(submission);
+            return super.submit(submission);
         }
     }
 
@@ -190,19 +190,19 @@
         }
 
         @Override
-        public Taking take(Submission s) {
+        public SubmissionResult submit(Submission s) {
             steps.add("taken");
-            return Taking.taken(new PendingMessage(steps.size(), s.id(), s.messageClass(), "", s.key(), 7, 0, s.body()));
+            return SubmissionResult.accepted(new PendingMessage(steps.size(), s.id(), s.messageClass(), "", s.key(), 7, 0, s.body()));
         }
 
         @Override
-        public boolean written() {
+        public boolean writeAccepted() {
             steps.add("written");
             return works;
         }
 
         @Override
-        public void answered(PendingMessage held, boolean heard) {
+        public void acceptanceReported(PendingMessage held, boolean heard) {
             steps.add(heard ? "told" : "not told");
         }
     }
@@ -218,7 +218,7 @@
         for (int i = 0; i < 3; i++) {
             sockets.add(new Socket(address.getAddress(), address.getPort()));
         }
-        Stub.await("all are accepted", () -> loop.submit(intake::clients).syncUninterruptibly().getNow() == 3);
+        Stub.await("all are accepted", () -> loop.submit(intake::openConnections).syncUninterruptibly().getNow() == 3);
         CountDownLatch written = new CountDownLatch(1);
         keepBusy(loop, written);
         for (int i = 0; i < 3; i++) {
@@ -250,7 +250,7 @@
     void whatIsKnownOfAnIdIsAskedWhenItsFirstOneIsWritten() throws Exception {
         TakingDesk desk = new TakingDesk(false) {
             @Override
-            public Optional<Known> before(String id, AnswerRecipient claim) {
+            public Optional<DuplicateState> checkDuplicate(String id, AnswerRecipient claim) {
                 super.steps.add("asked");
                 return Optional.empty();
             }
@@ -304,7 +304,7 @@
         Socket last = sockets.get(199);
         Stub.write(last, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
         assertEquals("HTTP/1.1 200 OK", Stub.read(new BufferedInputStream(last.getInputStream()), 0).line());
-        int clients = loop.submit(intake::clients).get();
+        int clients = loop.submit(intake::openConnections).get();
         assertTrue(clients <= MOST, "connections: " + clients);
     }
 
@@ -348,7 +348,7 @@
                     Stub.read(new BufferedInputStream(once.getInputStream()), 0).line());
         }
         assertEquals(-1, sockets.get(0).getInputStream().read(), "the first stood longest");
-        int clients = loop.submit(intake::clients).get();
+        int clients = loop.submit(intake::openConnections).get();
         assertTrue(clients <= MOST / 2, "connections: " + clients);
         submit(sockets.get(3 * MOST - 1), "again");
         assertEquals("HTTP/1.1 503 Service Unavailable",
--- a/src/test/java/slipfield/log/LogTest.java
+++ b/src/test/java/slipfield/log/LogTest.java
@@ -33,11 +33,11 @@
 
     @Test
     void anEventThatComesWithoutEndIsToldOnceASecond() {
-        Limit limit = new Limit();
+        EventRateLimit limit = new EventRateLimit();
         int told = 0;
         long passedOver = 0;
         for (long now = 0; now < 60_000; now++) {
-            long before = limit.pass(now);
+            long before = limit.acquire(now);
             if (before >= 0) {
                 told++;
                 passedOver += before;
@@ -46,7 +46,7 @@
         assertEquals(10 + 59, told);
         assertEquals(60_000 - told, passedOver, 1000);
         // A clock that goes back neither fills nor blocks it for good.
-        assertEquals(-1, limit.pass(0));
-        assertEquals(true, limit.pass(61_000) >= 0);
+        assertEquals(-1, limit.acquire(0));
+        assertEquals(true, limit.acquire(61_000) >= 0);
     }
 }
--- a/src/test/java/slipfield/outcome/ends/EndsTest.java
+++ b/src/test/java/slipfield/outcome/ends/ClientAnswersTest.java
@@ -15,37 +15,37 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import slipfield.config.BadInput;
-import slipfield.core.Follow;
+import slipfield.core.AnswerPolling;
 import slipfield.journal.PendingMessage;
 import slipfield.journal.PendingAnswer;
 
 /** What is kept of ends, told again and forgotten; on a loop whose clock the test moves. */
-class EndsTest {
+class ClientAnswersTest {
     private final EmbeddedChannel channel = new EmbeddedChannel();
     private final EventLoop loop = channel.eventLoop();
     private final List<String> heard = new ArrayList<>();
     private final List<String> told = new ArrayList<>();
 
-    private Ends ends(long keepMs, int most, long mostBytes) {
-        return new Ends(loop, new ClientsConfig.Keep(keepMs, most, mostBytes), "e1",
+    private ClientAnswers ends(long keepMs, int most, long mostBytes) {
+        return new ClientAnswers(loop, new ClientsConfig.Retention(keepMs, most, mostBytes), "e1",
                 owed -> heard.add(owed.message().id));
     }
 
-    private static PendingAnswer owed(Ends ends, String peer, String id, PendingMessage.FinalAnswer end, double waitMs) {
-        PendingMessage held = new PendingMessage(1, id, "c", "t", Optional.empty(), 7, 0, new byte[100], ends.claim(peer));
+    private static PendingAnswer owed(ClientAnswers ends, String peer, String id, PendingMessage.FinalAnswer end, double waitMs) {
+        PendingMessage held = new PendingMessage(1, id, "c", "t", Optional.empty(), 7, 0, new byte[100], ends.recipient(peer));
         held.pendingNotice = Optional.of(new PendingMessage.Notice(end, waitMs));
-        return new PendingAnswer(held, ends.claim(peer));
+        return new PendingAnswer(held, ends.recipient(peer));
     }
 
-    private void owe(Ends ends, String peer, String... ids) {
+    private void owe(ClientAnswers ends, String peer, String... ids) {
         for (String id : ids) {
-            ends.owe(owed(ends, peer, id, PendingMessage.FinalAnswer.DELIVERED, 0));
+            ends.enqueue(owed(ends, peer, id, PendingMessage.FinalAnswer.DELIVERED, 0));
         }
         ends.flush();
     }
 
-    private Follow.Asked ask(Ends ends, String peer, String after, long waitMs) {
-        return ends.ask(peer, after, waitMs, told::add);
+    private AnswerPolling.Poll ask(ClientAnswers ends, String peer, String after, long waitMs) {
+        return ends.poll(peer, after, waitMs, told::add);
     }
 
     private static String line(int place, String id) {
@@ -54,7 +54,7 @@
 
     @Test
     void endsAreToldUntilTheirCursorComesBack() {
-        Ends ends = ends(60_000, 100, 1 << 20);
+        ClientAnswers ends = ends(60_000, 100, 1 << 20);
         owe(ends, "desk", "a", "b");
         ask(ends, "desk", "", 0);
         ask(ends, "desk", "e0-99", 0);
@@ -64,14 +64,14 @@
         ask(ends, "desk", "e1-2", 0);
         assertEquals("", told.get(3));
         assertEquals(List.of("a", "b"), heard);
-        assertEquals(0, ends.kept());
+        assertEquals(0, ends.retainedCount());
     }
 
     @Test
     void aRefusalTellsWhenToComeBack() {
-        Ends ends = ends(60_000, 100, 1 << 20);
-        ends.owe(owed(ends, "desk", "a", PendingMessage.FinalAnswer.REFUSED, 250.4));
-        ends.owe(owed(ends, "desk", "b", PendingMessage.FinalAnswer.FAILED, 0));
+        ClientAnswers ends = ends(60_000, 100, 1 << 20);
+        ends.enqueue(owed(ends, "desk", "a", PendingMessage.FinalAnswer.REFUSED, 250.4));
+        ends.enqueue(owed(ends, "desk", "b", PendingMessage.FinalAnswer.FAILED, 0));
         ask(ends, "desk", "", 0);
         assertEquals("{\"cursor\":\"e1-1\",\"ref\":\"a\",\"end\":\"refused\",\"wait_ms\":250}\n"
                 + "{\"cursor\":\"e1-2\",\"ref\":\"b\",\"end\":\"failed\"}\n", told.get(0));
@@ -79,7 +79,7 @@
 
     @Test
     void whoWaitsHearsAtTheTurnsEndAndOthersHearNothing() {
-        Ends ends = ends(60_000, 100, 1 << 20);
+        ClientAnswers ends = ends(60_000, 100, 1 << 20);
         ask(ends, "desk", "", 5000);
         owe(ends, "other", "x");
         assertEquals(List.of(), told);
@@ -89,7 +89,7 @@
         ask(ends, "desk", "e1-3", 5000);
         ask(ends, "desk", "e1-3", 5000);
         assertEquals("", told.get(1));
-        Follow.Asked gone = ask(ends, "desk", "e1-3", 5000);
+        AnswerPolling.Poll gone = ask(ends, "desk", "e1-3", 5000);
         gone.cancel();
         owe(ends, "desk", "c");
         assertEquals(3, told.size(), "one that is gone is told nothing");
@@ -100,7 +100,7 @@
 
     @Test
     void aWaitEndsByItsTime() {
-        Ends ends = ends(60_000, 100, 1 << 20);
+        ClientAnswers ends = ends(60_000, 100, 1 << 20);
         channel.freezeTime();
         ask(ends, "desk", "", 5000);
         channel.advanceTimeBy(4999, TimeUnit.MILLISECONDS);
@@ -113,17 +113,17 @@
 
     @Test
     void whatIsTooMuchGoesOldestFirst() {
-        Ends few = ends(60_000, 3, 1 << 20);
+        ClientAnswers few = ends(60_000, 3, 1 << 20);
         owe(few, "gone", "a", "b");
         owe(few, "desk", "c", "d", "e");
         assertEquals(List.of("a", "b"), heard);
-        assertEquals(3, few.kept());
+        assertEquals(3, few.retainedCount());
         heard.clear();
-        Ends small = ends(60_000, 100, 1000);
+        ClientAnswers small = ends(60_000, 100, 1000);
         owe(small, "desk", "a", "b", "c", "d");
         assertEquals(List.of("a", "b"), heard);
         heard.clear();
-        Ends old = ends(1, 100, 1 << 20);
+        ClientAnswers old = ends(1, 100, 1 << 20);
         owe(old, "gone", "a");
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(2);
         while (System.nanoTime() < until) {
@@ -132,15 +132,15 @@
         channel.advanceTimeBy(2000, TimeUnit.MILLISECONDS);
         channel.runScheduledPendingTasks();
         assertEquals(List.of("a"), heard);
-        assertEquals(0, old.kept());
+        assertEquals(0, old.retainedCount());
     }
 
     /** A body of any size is one answer after the other, none much longer than it may be. */
     @Test
     void aLongListIsToldInParts() {
-        Ends ends = ends(60_000, 10_000, 1 << 24);
+        ClientAnswers ends = ends(60_000, 10_000, 1 << 24);
         for (int i = 1; i <= 3000; i++) {
-            ends.owe(owed(ends, "desk", "id-" + i, PendingMessage.FinalAnswer.DELIVERED, 0));
+            ends.enqueue(owed(ends, "desk", "id-" + i, PendingMessage.FinalAnswer.DELIVERED, 0));
         }
         String after = "";
         for (int answers = 0; heard.size() < 3000; answers++) {
@@ -156,7 +156,7 @@
     @Test
     void itsFileIsReadOrNamedWithTheMend(@TempDir Path folder) throws Exception {
         ClientsConfig shipped = ClientsConfig.read(Path.of("deploy", "clients.yaml"));
-        assertEquals(new ClientsConfig(5000, true, Optional.of(new ClientsConfig.Keep(60_000, 10_000, 2048 * 1024))), shipped);
+        assertEquals(new ClientsConfig(5000, true, Optional.of(new ClientsConfig.Retention(60_000, 10_000, 2048 * 1024))), shipped);
         Path file = folder.resolve("clients.yaml");
         for (String[] wrong : new String[][] {{"ends: {keep: 60}", ":1:14: ends.keep is a time with its unit"},
             {"wait_scope: maybe", ":1:13: wait_scope is none of its values"}, {"end: {}", "did you mean 'ends'?"},
--- a/src/test/java/slipfield/trace/TraceTest.java
+++ b/src/test/java/slipfield/trace/TraceTest.java
@@ -48,7 +48,7 @@
         Optional<String> report = Optional.empty();
         while (report.isEmpty()) {
             trace.late(12);
-            trace.turn(40_000_000);
+            trace.iteration(40_000_000);
             report = lines().stream().findFirst();
         }
         assertTrue(of("journal", report.get()) >= 300, report.get());
--- a/src/test/java/slipfield/transport/http/EndpointsTest.java
+++ b/src/test/java/slipfield/transport/http/EndpointsTest.java
@@ -60,7 +60,7 @@
     }
 
     private void at(InetSocketAddress address) {
-        loop.submit(() -> endpoints.at(1, address, true)).syncUninterruptibly();
+        loop.submit(() -> endpoints.updateEndpoint(1, address, true)).syncUninterruptibly();
     }
 
     private Transport.Attempt start(byte[] body, double timeoutMs) throws Exception {
@@ -118,9 +118,9 @@
         }).get();
         assertEquals(new End(AttemptOutcome.NOT_SENT, false, 0), end());
         loop.submit(() -> {
-            endpoints.at(1, stub.address(), true);
+            endpoints.updateEndpoint(1, stub.address(), true);
             endpoints.attempt(held, 0, 1, new AttemptTiming(LONG_MS, LONG_MS), System.nanoTime());
-            endpoints.at(1, stub.address(), false);
+            endpoints.updateEndpoint(1, stub.address(), false);
         }).get();
         assertEquals(new End(AttemptOutcome.NOT_SENT, false, 0), end());
         assertEquals(List.of(), stub.requests);
@@ -249,7 +249,7 @@
     void aDrainingOrMovedEndpointsIdleConnectionsAreClosed() throws Exception {
         expect(AttemptOutcome.DELIVERED, Stub.status(200, ""));
         awaitKept();
-        loop.submit(() -> endpoints.at(1, stub.address(), false)).syncUninterruptibly();
+        loop.submit(() -> endpoints.updateEndpoint(1, stub.address(), false)).syncUninterruptibly();
         assertEquals(0, kept());
     }
 
