--- a/src/main/java/slipfield/admission/Admission.java
+++ b/src/main/java/slipfield/admission/AdmissionControl.java
@@ -16,7 +16,7 @@
  * where deliveries went on for some seconds with more waiting all the while do these show what the destination
  * takes now. Without evidence nothing is refused here. Times are milliseconds.
  */
-public final class Admission {
+public final class AdmissionControl {
     /** A client waits 400 ms for its answer: a loop that is later than this has more work than it can do. */
     static final double LATE_MS = 300;
     /** What is a little late by chance is not behind. */
@@ -41,7 +41,7 @@
     private double lateAt = Double.NEGATIVE_INFINITY;
 
     /** Holds so many messages at most. */
-    public Admission(int mostHeld) {
+    public AdmissionControl(int mostHeld) {
         this.mostHeld = mostHeld;
     }
 
@@ -49,12 +49,12 @@
      * Taken on, or refused for a reason; a refused client may come back after so long, 0 if not known; {@code
      * destination}: that is so of this destination alone.
      */
-    public record Verdict(boolean taken, String reason, long waitMs, boolean destination) {
-        private static final Verdict TAKEN = new Verdict(true, "", 0, false);
+    public record Decision(boolean accepted, String reason, long retryAfterMs, boolean destinationOnly) {
+        private static final Decision ACCEPTED = new Decision(true, "", 0, false);
     }
 
     /** Whether a message for this destination, with so much time left, is taken on while so many are held. */
-    public Verdict admit(double now, long destination, double leftMs, int held) {
+    public Decision admit(double now, long destination, double leftMs, int held) {
         if (held >= mostHeld) {
             return refused("as many messages are held as may be", waitFor(now, held - mostHeld + 1), false);
         }
@@ -69,11 +69,11 @@
                         work.waiting / rate - leftMs, true);
             }
         }
-        return Verdict.TAKEN;
+        return Decision.ACCEPTED;
     }
 
-    private static Verdict refused(String reason, double waitMs, boolean destination) {
-        return new Verdict(false, reason, (long) Math.ceil(Math.max(waitMs, LEAST_WAIT_MS)), destination);
+    private static Decision refused(String reason, double waitMs, boolean destination) {
+        return new Decision(false, reason, (long) Math.ceil(Math.max(waitMs, LEAST_WAIT_MS)), destination);
     }
 
     /** When so many of those held will have ended, at the pace of them all. */
@@ -94,7 +94,7 @@
     }
 
     /** A message for this destination is held from now on. */
-    public void held(double now, long destination) {
+    public void messageAdded(double now, long destination) {
         Work work = works.computeIfAbsent(destination, d -> new Work());
         if (work.waiting++ == 0) {
             work.busySince = now;
@@ -102,7 +102,7 @@
     }
 
     /** One that was held is no more; {@code delivered}: by a delivery. */
-    public void ended(double now, long destination, boolean delivered) {
+    public void messageEnded(double now, long destination, boolean delivered) {
         Work work = works.get(destination);
         if (work == null) {
             return;
@@ -114,7 +114,7 @@
     }
 
     /** Something that was due was done so much later. */
-    public void late(double now, double lateMs) {
+    public void recordLateness(double now, double lateMs) {
         late = now - lateAt < LATE_MEMORY_MS ? Math.max(lateMs, late / 2) : lateMs;
         lateAt = now;
     }
--- a/src/main/java/slipfield/core/Recovery.java
+++ b/src/main/java/slipfield/core/Recovery.java
@@ -11,10 +11,10 @@
 import slipfield.journal.PendingMessage;
 import slipfield.log.Log;
 import slipfield.log.LoggedTask;
-import slipfield.recovery.Plan;
+import slipfield.recovery.RecoveryPlan;
 
 /**
- * Takes up what an earlier life held, by its {@link Plan}: a slice in a turn, and the loop free between two.
+ * Takes up what an earlier life held, by its {@link RecoveryPlan}: a slice in a turn, and the loop free between two.
  * Ends need no list and go out before anything else. What may still be delivered waits for the list that
  * discovery has, but not for long; if its time is up meanwhile it is ended.
  */
@@ -45,7 +45,7 @@
     private final Steps steps;
     private final Map<Long, PendingMessage> left = new HashMap<>();
     private final List<PendingMessage> taken;
-    private Plan plan;
+    private RecoveryPlan plan;
     /** A list is known that may be acted on; any will do where nothing waits to be sent. */
     private boolean listed;
     private boolean toldEnds;
@@ -95,22 +95,22 @@
 
     private void plan() {
         long now = wallMs.getAsLong();
-        List<Plan.Item> items = new ArrayList<>();
+        List<RecoveryPlan.Item> items = new ArrayList<>();
         for (PendingMessage held : taken) {
             if (left.containsKey(held.number)) {
-                items.add(new Plan.Item(held.number, leftMs(held, now), held.finished, inOrder.test(held)));
+                items.add(new RecoveryPlan.Item(held.number, leftMs(held, now), held.finished, inOrder.test(held)));
             }
         }
-        plan = new Plan(items);
+        plan = new RecoveryPlan(items);
     }
 
     private static long leftMs(PendingMessage held, long now) {
-        return Plan.leftMs(held.deadlineMs - now, held.reserveMs, held.attempts.stream().allMatch(a -> a.neverRan));
+        return RecoveryPlan.remainingMs(held.deadlineMs - now, held.reserveMs, held.attempts.stream().allMatch(a -> a.neverRan));
     }
 
     private void step() {
         waiting = false;
-        if (plan.endsLeft()) {
+        if (plan.hasAnswersLeft()) {
             takeUp(plan.next());
         } else if (!toldEnds) {
             toldEnds = true;
@@ -119,7 +119,7 @@
         } else if (!listed) {
             waiting = true;
             loop.schedule(LoggedTask.of("recovery.look", this::look), LOOK_MS, TimeUnit.MILLISECONDS);
-        } else if (plan.left() > 0) {
+        } else if (plan.remainingBatches() > 0) {
             takeUp(plan.next());
         } else {
             steps.done(resumed);
@@ -139,13 +139,13 @@
         }
     }
 
-    private void takeUp(Plan.Slice slice) {
+    private void takeUp(RecoveryPlan.Batch batch) {
         turns++;
         long now = wallMs.getAsLong();
-        for (long number : slice.numbers()) {
+        for (long number : batch.numbers()) {
             PendingMessage held = left.remove(number);
             try {
-                takeUp(held, slice.step(), now);
+                takeUp(held, batch.action(), now);
             } catch (RuntimeException e) {
                 // The others have to be ended all the same; the journal still holds this one.
                 Log.error("recovery.message_fault", "message", held.id, "cause", e);
@@ -154,11 +154,11 @@
         again(0);
     }
 
-    private void takeUp(PendingMessage held, Plan.Step step, long now) {
-        if (step == Plan.Step.TELL) {
+    private void takeUp(PendingMessage held, RecoveryPlan.Action action, long now) {
+        if (action == RecoveryPlan.Action.REPORT) {
             steps.tell(held);
         } else {
-            resumed += step == Plan.Step.RESUME ? 1 : 0;
+            resumed += action == RecoveryPlan.Action.RESUME ? 1 : 0;
             steps.resume(held, leftMs(held, now));
         }
     }
--- a/src/main/java/slipfield/core/Sender.java
+++ b/src/main/java/slipfield/core/Sender.java
@@ -17,7 +17,7 @@
 import java.util.Set;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import slipfield.admission.Admission;
+import slipfield.admission.AdmissionControl;
 import slipfield.config.Config;
 import slipfield.journal.AnswerRecipient;
 import slipfield.journal.PendingMessage;
@@ -93,7 +93,7 @@
     /** Of a turn that took long, calls that are looked at again in a moment, by message and attempt. */
     private final Map<Long, Decided> stale = new LinkedHashMap<>();
     private final DeliveryPolicy policy;
-    private final Admission admission;
+    private final AdmissionControl admission;
     private final Trace trace = TRACE_ENABLED ? new Trace(System.err) : null;
     private Recovery recovery;
     private Journal journal;
@@ -128,7 +128,7 @@
         this.config = config;
         this.parts = parts;
         this.life = life;
-        this.admission = new Admission(config.maxOpen());
+        this.admission = new AdmissionControl(config.maxOpen());
         this.takingMs = takingMs;
         this.closingMs = closingMs;
         this.policy = DeliveryPolicy.create(config.settings(), config.seed(), this);
@@ -197,7 +197,7 @@
             if (!h.finished) {
                 open.put(h.number, h);
                 byId.put(h.id, h);
-                admission.held(now, h.destination);
+                admission.messageAdded(now, h.destination);
             }
         }
         recovery = new Recovery(loop, life::wallMs, held, h -> {
@@ -462,7 +462,7 @@
         long nanos = (long) (time * 1e6) - (System.nanoTime() - startNanos);
         loop.schedule(() -> {
             double now = openTurn();
-            admission.late(now, now - time);
+            admission.recordLateness(now, now - time);
             LatenessLog.due(now - time);
             if (TRACE_ENABLED) {
                 trace.late(now - time);
@@ -628,7 +628,7 @@
         held.finished = true;
         open.remove(held.number);
         byId.remove(held.id);
-        admission.ended(now(), held.destination, delivered);
+        admission.messageEnded(now(), held.destination, delivered);
     }
 
     private void heard(PendingAnswer answer) {
@@ -778,13 +778,13 @@
             long leftMs = (long) Math.min(s.budgetMs(), mostMs);
             long reserveMs = admission.isLate(now()) ? UNREAD_LATE_MS : Math.min(UNREAD_MS, leftMs / 2);
             leftMs -= reserveMs;
-            Admission.Verdict verdict = admission.admit(now(), s.destination(), leftMs, open.size());
+            AdmissionControl.Decision decision = admission.admit(now(), s.destination(), leftMs, open.size());
             if (FLOW_ENABLED) {
-                Flow.step("asked", s.id(), s.destination(), verdict.taken(), open.size(), leftMs,
-                        s.key().orElse("-"), verdict.reason().replace(' ', '_'));
+                Flow.step("asked", s.id(), s.destination(), decision.accepted(), open.size(), leftMs,
+                        s.key().orElse("-"), decision.reason().replace(' ', '_'));
             }
-            if (!verdict.taken()) {
-                return new SubmissionResult(Optional.empty(), verdict.reason(), verdict.waitMs(), verdict.destination());
+            if (!decision.accepted()) {
+                return new SubmissionResult(Optional.empty(), decision.reason(), decision.retryAfterMs(), decision.destinationOnly());
             }
             PendingMessage held = new PendingMessage(journal.nextNumber(), s.id(), s.messageClass(), s.tenant(), s.key(),
                     s.destination(), life.wallMs() + leftMs, s.body(), s.recipients().get(0));
@@ -799,7 +799,7 @@
             }
             open.put(held.number, held);
             byId.put(held.id, held);
-            admission.held(now(), held.destination);
+            admission.messageAdded(now(), held.destination);
             return SubmissionResult.accepted(held);
         }
 
--- a/src/main/java/slipfield/directory/merged/Members.java
+++ b/src/main/java/slipfield/directory/merged/Members.java
@@ -85,7 +85,7 @@
     public void start(EndpointListener to) {
         lists = to;
         if (config.precedence().contains(MembersConfig.FILE)) {
-            tell(membership.said(nowMs(), MembersConfig.FILE, config.file()));
+            tell(membership.update(nowMs(), MembersConfig.FILE, config.file()));
         }
         consul.ifPresent(this::watch);
         platform.ifPresent(p -> p.start(this::listed));
@@ -95,7 +95,7 @@
         if (!kept.instances().isEmpty()) {
             long ageMs = Math.max(0, System.currentTimeMillis() - kept.heardMs());
             Log.info("members.recalled", "age_ms", ageMs, "endpoints", kept.instances().size());
-            tell(membership.recalled(nowMs(), MembersConfig.CONSUL, kept.instances(), ageMs));
+            tell(membership.restore(nowMs(), MembersConfig.CONSUL, kept.instances(), ageMs));
         }
         from.start(kept.instances(), new ConsulDirectory.Listener() {
             @Override
@@ -103,7 +103,7 @@
                 loop.execute(() -> {
                     consulHeard = true;
                     recovered();
-                    tell(membership.said(nowMs(), MembersConfig.CONSUL, whole));
+                    tell(membership.update(nowMs(), MembersConfig.CONSUL, whole));
                 });
             }
 
@@ -111,7 +111,7 @@
             public void confirmed() {
                 loop.execute(() -> {
                     recovered();
-                    membership.confirmed(nowMs(), MembersConfig.CONSUL);
+                    membership.sourceConfirmed(nowMs(), MembersConfig.CONSUL);
                 });
             }
 
@@ -123,7 +123,7 @@
     }
 
     private void failed(String why) {
-        membership.failed(MembersConfig.CONSUL, why);
+        membership.sourceFailed(MembersConfig.CONSUL, why);
         if (trouble.isEmpty()) {
             Log.warn("consul.away", "cause", why);
         }
@@ -153,7 +153,7 @@
                         e.zone(), e.weight(), e.serving() ? Status.PASSING : Status.DRAINING));
             }
         }
-        tell(membership.said(nowMs(), MembersConfig.PLATFORM, platformList.values()));
+        tell(membership.update(nowMs(), MembersConfig.PLATFORM, platformList.values()));
     }
 
     private static long nowMs() {
@@ -163,7 +163,7 @@
     private void tell(Membership.Change change) {
         List<Entry> entries = new ArrayList<>();
         // What is gone first: its id may have been given to another address.
-        for (String id : change.gone()) {
+        for (String id : change.removed()) {
             entries.add(new Entry(id, new InetSocketAddress(0), "", "", 0, false, 0, true));
         }
         for (Member m : change.members()) {
@@ -186,7 +186,7 @@
         if (tick != null) {
             tick.cancel(false);
         }
-        long next = membership.nextMs();
+        long next = membership.nextTickMs();
         if (next != Long.MAX_VALUE) {
             tick = loop.schedule(() -> tell(membership.tick(nowMs())), Math.max(1, next - nowMs()),
                     TimeUnit.MILLISECONDS);
@@ -194,7 +194,7 @@
     }
 
     private void report() {
-        Map<Long, Long> now = membership.held();
+        Map<Long, Long> now = membership.heldPools();
         if (!now.keySet().equals(held.keySet())) {
             now.keySet().stream().filter(d -> !held.containsKey(d)).forEach(d -> Log.warn("members.held", "destination",
                     d));
--- a/src/main/java/slipfield/directory/merged/MembersConfig.java
+++ b/src/main/java/slipfield/directory/merged/MembersConfig.java
@@ -12,7 +12,7 @@
 import slipfield.config.Config;
 import slipfield.directory.consul.ConsulSettings;
 import slipfield.membership.Instance;
-import slipfield.membership.Rules;
+import slipfield.membership.MembershipRules;
 import slipfield.membership.Status;
 import slipfield.settings.Section;
 import slipfield.settings.SettingsFile;
@@ -24,7 +24,7 @@
  *     endpoint, the first one's attributes hold
  * @param file the endpoints that the file itself names
  */
-public record MembersConfig(List<String> precedence, Rules rules, Optional<ConsulSettings> consul,
+public record MembersConfig(List<String> precedence, MembershipRules rules, Optional<ConsulSettings> consul,
         List<Instance> file) {
     static final String PLATFORM = "platform";
     static final String CONSUL = "consul";
@@ -62,15 +62,15 @@
         Optional<ConsulSettings> consul = part.isPresent() ? Optional.of(ConsulSettings.read(part.get()))
                 : Optional.empty();
         Optional<Section> rules = file.section("rules");
-        return new MembersConfig(precedence, rules.isPresent() ? rules(rules.get()) : Rules.DEFAULT, consul,
+        return new MembersConfig(precedence, rules.isPresent() ? rules(rules.get()) : MembershipRules.DEFAULT, consul,
                 endpoints(file.sections("endpoints")));
     }
 
-    private static Rules rules(Section rules) throws BadInput {
-        Rules d = Rules.DEFAULT;
+    private static MembershipRules rules(Section rules) throws BadInput {
+        MembershipRules d = MembershipRules.DEFAULT;
         rules.allowOnly("steady", "most_steady", "forgive", "most_shrink", "window", "accept");
         long steady = rules.millis("steady", d.steadyMs(), 0, LONGEST_MS);
-        return new Rules(steady, rules.millis("most_steady", Math.max(steady, d.mostSteadyMs()), steady, LONGEST_MS),
+        return new MembershipRules(steady, rules.millis("most_steady", Math.max(steady, d.mostSteadyMs()), steady, LONGEST_MS),
                 rules.millis("forgive", d.forgiveMs(), 1, LONGEST_MS), rules.share("most_shrink", d.mostShrink()),
                 rules.millis("window", d.windowMs(), 0, LONGEST_MS), rules.millis("accept", d.acceptMs(), 0, LONGEST_MS));
     }
--- a/src/main/java/slipfield/directory/merged/ViewFile.java
+++ b/src/main/java/slipfield/directory/merged/ViewFile.java
@@ -74,10 +74,10 @@
 
     /** Writes the view as it is now; here it is only taken down, all else is the writer's. */
     void write(Membership membership, long nowMs, long wallMs) {
-        Map<String, Membership.SourceState> states = membership.sources(nowMs);
+        Map<String, Membership.SourceState> states = membership.sourceStates(nowMs);
         Map<String, Collection<Instance>> told = new HashMap<>();
-        states.keySet().forEach(source -> told.put(source, membership.told(source)));
-        Snapshot taken = new Snapshot(states, told, membership.held(), membership.members(), nowMs, wallMs);
+        states.keySet().forEach(source -> told.put(source, membership.lastInstances(source)));
+        Snapshot taken = new Snapshot(states, told, membership.heldPools(), membership.members(), nowMs, wallMs);
         file.write(() -> view(taken));
     }
 
@@ -85,9 +85,9 @@
         ObjectNode view = json.createObjectNode().put("version", VERSION).put("written_ms", taken.wallMs);
         ObjectNode sources = view.putObject("sources");
         taken.states.forEach((source, state) -> {
-            ObjectNode of = sources.putObject(source).put("heard", state.heard())
-                    .put("heard_ms", state.heard() ? taken.wallMs - state.ageMs() : 0)
-                    .put("trouble", state.trouble().orElse(""));
+            ObjectNode of = sources.putObject(source).put("heard", state.reported())
+                    .put("heard_ms", state.reported() ? taken.wallMs - state.ageMs() : 0)
+                    .put("trouble", state.error().orElse(""));
             ArrayNode instances = of.putArray("instances");
             taken.told.get(source).forEach(i -> instances.addObject().put("id", i.id())
                     .put("address", i.address()).put("destination", i.destination()).put("kind", i.kind())
@@ -98,11 +98,11 @@
         ArrayNode members = view.putArray("members");
         for (Member m : taken.members) {
             ObjectNode member = members.addObject().put("id", m.id()).put("address", m.endpoint().address())
-                    .put("destination", m.endpoint().destination()).put("used", m.used()).put("why", m.why().name())
+                    .put("destination", m.endpoint().destination()).put("used", m.used()).put("why", m.reason().name())
                     .put("since_ms", taken.wall(m.sinceMs()))
-                    .put("again_ms", m.againMs() == 0 ? 0 : taken.wall(m.againMs()));
+                    .put("again_ms", m.usableAgainMs() == 0 ? 0 : taken.wall(m.usableAgainMs()));
             ObjectNode says = member.putObject("says");
-            m.says().forEach((source, status) -> says.put(source, status.name()));
+            m.statusBySource().forEach((source, status) -> says.put(source, status.name()));
         }
         return view;
     }
--- a/src/main/java/slipfield/group/decide/Word.java
+++ b/src/main/java/slipfield/group/decide/MembershipRumor.java
@@ -4,13 +4,13 @@
  * What is said of a member.
  *
  * @param member its number, from 0
- * @param standing what it is held to be
+ * @param state what it is held to be
  * @param incarnation of its own making: a later one goes before all that is said of earlier ones; 0 to 2^32 - 1
  */
-public record Word(int member, Standing standing, long incarnation) {
+public record MembershipRumor(int member, MemberState state, long incarnation) {
     /** Whether it goes before another word of the same member. */
-    boolean goesBefore(Word other) {
+    boolean supersedes(MembershipRumor other) {
         return incarnation != other.incarnation ? incarnation > other.incarnation
-                : standing.ordinal() > other.standing.ordinal();
+                : state.ordinal() > other.state.ordinal();
     }
 }
--- a/src/main/java/slipfield/group/decide/Group.java
+++ b/src/main/java/slipfield/group/decide/SwimMember.java
@@ -20,7 +20,7 @@
  *
  * <p>One thread; times are ms of any clock that does not go back. Numbers of members are from 0.
  */
-public final class Group {
+public final class SwimMember {
     /** Longer than so many periods without being asked what is due: this process was stopped, and what is out is void. */
     private static final double STOPPED_PERIODS = 2;
     private static final double NACK_SHARE = 0.8;
@@ -29,15 +29,15 @@
     /** What a member does about others. */
     public interface Actions {
         /** Sends a note. */
-        void send(int to, Note note);
+        void send(int to, GossipMessage note);
 
         /** A member's standing has changed here. */
-        void changed(int member, Standing standing);
+        void changed(int member, MemberState state);
     }
 
     /** One of the group, as it is seen here. */
     private static final class Member {
-        private Word word;
+        private MembershipRumor rumor;
         private boolean known;
         /** When it was heard by itself, and when anything newer was said of it. */
         private double heardAt = Double.NEGATIVE_INFINITY;
@@ -45,7 +45,7 @@
         private double suspectedAt;
 
         private Member(int number) {
-            word = new Word(number, Standing.ALIVE, 0);
+            rumor = new MembershipRumor(number, MemberState.ALIVE, 0);
         }
     }
 
@@ -70,11 +70,11 @@
     }
 
     /** A member as this one sees it: with the age of what it knows. */
-    public record Seen(int member, Standing standing, long incarnation, double heardAgoMs) {
+    public record MemberView(int member, MemberState state, long incarnation, double lastHeardAgoMs) {
     }
 
     private final int self;
-    private final Pace pace;
+    private final SwimSettings pace;
     private final RandomGenerator random;
     private final Actions actions;
     private final List<Member> members = new ArrayList<>();
@@ -94,8 +94,8 @@
      *
      * @param incarnation later than in any earlier life, such as the seconds of the wall clock
      */
-    public Group(double now, int self, int size, long incarnation, Pace pace, RandomGenerator random, Actions actions) {
-        if (self < 0 || self >= size || size > Note.MOST_MEMBERS) {
+    public SwimMember(double now, int self, int size, long incarnation, SwimSettings pace, RandomGenerator random, Actions actions) {
+        if (self < 0 || self >= size || size > GossipMessage.MAX_MEMBERS) {
             throw new IllegalArgumentException("member " + self + " of " + size);
         }
         this.self = self;
@@ -105,7 +105,7 @@
         for (int i = 0; i < size; i++) {
             members.add(new Member(i));
         }
-        members.get(self).word = new Word(self, Standing.ALIVE, incarnation & MASK);
+        members.get(self).rumor = new MembershipRumor(self, MemberState.ALIVE, incarnation & MASK);
         members.get(self).known = true;
         lastTickAt = now;
         lastHeardAt = now;
@@ -117,13 +117,13 @@
     public double dueAt() {
         double due = nextProbeAt;
         if (probe != null && !probe.answered && !probe.asked) {
-            due = Math.min(due, probe.at + answerMs());
+            due = Math.min(due, probe.at + ackTimeoutMs());
         }
         for (Errand errand : errands.values()) {
             due = Math.min(due, errand.nackAt);
         }
         for (Member m : members) {
-            if (m.word.standing() == Standing.SUSPECT) {
+            if (m.rumor.state() == MemberState.SUSPECT) {
                 due = Math.min(due, m.suspectedAt + suspicionMs());
             }
         }
@@ -136,19 +136,19 @@
             wokenLate(now);
         }
         lastTickAt = now;
-        if (probe != null && !probe.answered && !probe.asked && now >= probe.at + answerMs()) {
+        if (probe != null && !probe.answered && !probe.asked && now >= probe.at + ackTimeoutMs()) {
             askOthers();
         }
         for (Iterator<Errand> each = errands.values().iterator(); each.hasNext();) {
             Errand errand = each.next();
             if (now >= errand.nackAt) {
                 each.remove();
-                send(errand.asker, Note.Kind.NACK, errand.askersRound, errand.target);
+                send(errand.asker, GossipMessage.Kind.NACK, errand.askersRound, errand.target);
             }
         }
         for (Member m : members) {
-            if (m.word.standing() == Standing.SUSPECT && now >= m.suspectedAt + suspicionMs()) {
-                take(now, new Word(m.word.member(), Standing.DEAD, m.word.incarnation()));
+            if (m.rumor.state() == MemberState.SUSPECT && now >= m.suspectedAt + suspicionMs()) {
+                take(now, new MembershipRumor(m.rumor.member(), MemberState.DEAD, m.rumor.incarnation()));
             }
         }
         if (now >= nextProbeAt) {
@@ -159,12 +159,12 @@
 
     /** This process was stopped: what it took for silence was its own, and what others have said since it has not read yet. */
     private void wokenLate(double now) {
-        slowness = pace.slowest() - 1;
+        slowness = pace.maxSlowdown() - 1;
         probe = null;
         errands.clear();
-        nextProbeAt = now + answerMs();
+        nextProbeAt = now + ackTimeoutMs();
         for (Member m : members) {
-            if (m.word.standing() == Standing.SUSPECT) {
+            if (m.rumor.state() == MemberState.SUSPECT) {
                 m.suspectedAt = now;
             }
         }
@@ -174,15 +174,15 @@
         probe.asked = true;
         List<Integer> able = new ArrayList<>();
         for (Member m : members) {
-            int number = m.word.member();
-            if (number != self && number != probe.target && m.word.standing() == Standing.ALIVE) {
+            int number = m.rumor.member();
+            if (number != self && number != probe.target && m.rumor.state() == MemberState.ALIVE) {
                 able.add(number);
             }
         }
-        for (int i = 0; i < pace.asked() && !able.isEmpty(); i++) {
+        for (int i = 0; i < pace.helpers() && !able.isEmpty(); i++) {
             int helper = able.remove(random.nextInt(able.size()));
             probe.nacksDue++;
-            send(helper, Note.Kind.ASK, probe.round, probe.target);
+            send(helper, GossipMessage.Kind.PING_REQUEST, probe.round, probe.target);
         }
     }
 
@@ -194,9 +194,9 @@
         if (lastHeardAt < probe.at) {
             slower(1 + probe.nacksDue);
         }
-        Word word = members.get(probe.target).word;
-        if (word.standing() == Standing.ALIVE) {
-            take(now, new Word(probe.target, Standing.SUSPECT, word.incarnation()));
+        MembershipRumor rumor = members.get(probe.target).rumor;
+        if (rumor.state() == MemberState.ALIVE) {
+            take(now, new MembershipRumor(probe.target, MemberState.SUSPECT, rumor.incarnation()));
         }
     }
 
@@ -214,7 +214,7 @@
             // The dead have their turn too: one that was cut off for long must be able to hear that it is taken for dead.
             int target = order.remove(order.size() - 1);
             probe = new Probe(target, nextRound(), now);
-            send(target, Note.Kind.PING, probe.round, target);
+            send(target, GossipMessage.Kind.PING, probe.round, target);
         }
     }
 
@@ -224,11 +224,11 @@
     }
 
     private void slower(int by) {
-        slowness = Math.min(pace.slowest() - 1, slowness + by);
+        slowness = Math.min(pace.maxSlowdown() - 1, slowness + by);
     }
 
-    private double answerMs() {
-        return pace.answerMs() * (1 + slowness);
+    private double ackTimeoutMs() {
+        return pace.ackTimeoutMs() * (1 + slowness);
     }
 
     private double suspicionMs() {
@@ -240,30 +240,30 @@
     }
 
     /** A note has come from where the group knows this member to be; {@code from}: by that place, whatever the note says. */
-    public void received(double now, int from, Note note) {
+    public void received(double now, int from, GossipMessage note) {
         if (from == self || note.from() != from) {
             return;
         }
         Member sender = members.get(from);
         sender.heardAt = now;
         lastHeardAt = now;
-        for (Word word : note.words()) {
-            take(now, word);
+        for (MembershipRumor rumor : note.rumors()) {
+            take(now, rumor);
         }
-        if (sender.word.standing() != Standing.ALIVE
-                || note.words().stream().anyMatch(w -> w.member() == from && sender.word.goesBefore(w))) {
+        if (sender.rumor.state() != MemberState.ALIVE
+                || note.rumors().stream().anyMatch(w -> w.member() == from && sender.rumor.supersedes(w))) {
             // It is there, and must hear what is said of it, or of an earlier life, to say otherwise.
             fresh.put(from, 0);
         }
         switch (note.kind()) {
-            case PING -> send(from, Note.Kind.ACK, note.round(), self);
-            case ASK -> {
+            case PING -> send(from, GossipMessage.Kind.ACK, note.round(), self);
+            case PING_REQUEST -> {
                 if (note.target() != self) {
                     long mine = nextRound();
-                    errands.put(mine, new Errand(from, note.round(), note.target(), now + NACK_SHARE * answerMs()));
-                    send(note.target(), Note.Kind.PING, mine, note.target());
+                    errands.put(mine, new Errand(from, note.round(), note.target(), now + NACK_SHARE * ackTimeoutMs()));
+                    send(note.target(), GossipMessage.Kind.PING, mine, note.target());
                 } else {
-                    send(from, Note.Kind.ACK, note.round(), self);
+                    send(from, GossipMessage.Kind.ACK, note.round(), self);
                 }
             }
             case ACK -> acked(from, note);
@@ -276,11 +276,11 @@
         }
     }
 
-    private void acked(int from, Note note) {
+    private void acked(int from, GossipMessage note) {
         Errand errand = errands.get(note.round());
         if (errand != null && errand.target == from) {
             errands.remove(note.round());
-            send(errand.asker, Note.Kind.ACK, errand.askersRound, errand.target);
+            send(errand.asker, GossipMessage.Kind.ACK, errand.askersRound, errand.target);
         }
         if (probe != null && !probe.answered && note.round() == probe.round && note.target() == probe.target) {
             probe.answered = true;
@@ -289,72 +289,72 @@
     }
 
     /** Takes a word that goes before what is known; one that says this member is not there is answered by a later incarnation. */
-    private void take(double now, Word word) {
-        Member m = members.get(word.member());
+    private void take(double now, MembershipRumor rumor) {
+        Member m = members.get(rumor.member());
         boolean first = !m.known;
-        if (!first && !word.goesBefore(m.word)) {
+        if (!first && !rumor.supersedes(m.rumor)) {
             return;
         }
-        if (word.member() == self) {
-            if (word.standing() != Standing.ALIVE || word.incarnation() > m.word.incarnation()) {
+        if (rumor.member() == self) {
+            if (rumor.state() != MemberState.ALIVE || rumor.incarnation() > m.rumor.incarnation()) {
                 // Of this life, or of an earlier one whose clock was ahead.
                 slower(1);
-                m.word = new Word(self, Standing.ALIVE, word.incarnation() + 1 & MASK);
+                m.rumor = new MembershipRumor(self, MemberState.ALIVE, rumor.incarnation() + 1 & MASK);
                 fresh.put(self, 0);
             }
             return;
         }
-        Standing before = m.word.standing();
+        MemberState before = m.rumor.state();
         m.known = true;
-        m.word = word;
+        m.rumor = rumor;
         m.toldAt = now;
-        fresh.put(word.member(), 0);
-        if (word.standing() == Standing.SUSPECT) {
+        fresh.put(rumor.member(), 0);
+        if (rumor.state() == MemberState.SUSPECT) {
             m.suspectedAt = now;
         }
-        if (first || before != word.standing()) {
-            actions.changed(word.member(), word.standing());
+        if (first || before != rumor.state()) {
+            actions.changed(rumor.member(), rumor.state());
         }
     }
 
     /** Says that it goes, to as many as one note each reaches in a moment. */
     public void leave() {
-        Word own = members.get(self).word;
-        members.get(self).word = new Word(self, Standing.LEFT, own.incarnation());
+        MembershipRumor own = members.get(self).rumor;
+        members.get(self).rumor = new MembershipRumor(self, MemberState.LEFT, own.incarnation());
         fresh.put(self, 0);
         List<Integer> others = new ArrayList<>();
         for (Member m : members) {
-            if (m.word.member() != self && m.word.standing() == Standing.ALIVE) {
-                others.add(m.word.member());
+            if (m.rumor.member() != self && m.rumor.state() == MemberState.ALIVE) {
+                others.add(m.rumor.member());
             }
         }
-        for (int i = 0; i < 1 + pace.asked() && !others.isEmpty(); i++) {
+        for (int i = 0; i < 1 + pace.helpers() && !others.isEmpty(); i++) {
             int to = others.remove(random.nextInt(others.size()));
-            send(to, Note.Kind.PING, nextRound(), to);
+            send(to, GossipMessage.Kind.PING, nextRound(), to);
         }
     }
 
-    private void send(int to, Note.Kind kind, long noteRound, int target) {
-        actions.send(to, new Note(kind, self, noteRound, target, words(to)));
+    private void send(int to, GossipMessage.Kind kind, long noteRound, int target) {
+        actions.send(to, new GossipMessage(kind, self, noteRound, target, words(to)));
     }
 
-    /** One's own word, what the receiver is said to be, and those that have gone out least often. */
-    private List<Word> words(int to) {
-        List<Word> words = new ArrayList<>();
-        words.add(members.get(self).word);
-        if (members.get(to).word.standing() != Standing.ALIVE || fresh.getOrDefault(to, 1) == 0) {
-            words.add(members.get(to).word);
+    /** One's own rumor, what the receiver is said to be, and those that have gone out least often. */
+    private List<MembershipRumor> words(int to) {
+        List<MembershipRumor> words = new ArrayList<>();
+        words.add(members.get(self).rumor);
+        if (members.get(to).rumor.state() != MemberState.ALIVE || fresh.getOrDefault(to, 1) == 0) {
+            words.add(members.get(to).rumor);
         }
         int most = (int) Math.ceil(3 * Math.max(1, log2(members.size())));
         List<Map.Entry<Integer, Integer>> least = new ArrayList<>(fresh.entrySet());
         least.sort(Comparator.comparingInt(Map.Entry::getValue));
         for (Map.Entry<Integer, Integer> each : least) {
-            if (words.size() >= pace.wordsInNote()) {
+            if (words.size() >= pace.rumorsPerMessage()) {
                 break;
             }
-            Word word = members.get(each.getKey()).word;
-            if (!words.contains(word)) {
-                words.add(word);
+            MembershipRumor rumor = members.get(each.getKey()).rumor;
+            if (!words.contains(rumor)) {
+                words.add(rumor);
             }
             if (each.getValue() + 1 >= most) {
                 fresh.remove(each.getKey());
@@ -366,13 +366,13 @@
     }
 
     /** What a member is held to be. */
-    public Standing standing(int member) {
-        return members.get(member).word.standing();
+    public MemberState state(int member) {
+        return members.get(member).rumor.state();
     }
 
     /** Members that are held to be alive or are only suspected, this one among them. */
-    public int present() {
-        return (int) members.stream().filter(m -> m.word.standing() == Standing.ALIVE || m.word.standing() == Standing.SUSPECT)
+    public int presentMembers() {
+        return (int) members.stream().filter(m -> m.rumor.state() == MemberState.ALIVE || m.rumor.state() == MemberState.SUSPECT)
                 .count();
     }
 
@@ -382,8 +382,8 @@
     }
 
     /** The whole view, with ages. */
-    public List<Seen> view(double now) {
-        return members.stream().map(m -> new Seen(m.word.member(), m.word.standing(), m.word.incarnation(),
-                m.word.member() == self ? 0 : now - m.heardAt)).toList();
+    public List<MemberView> view(double now) {
+        return members.stream().map(m -> new MemberView(m.rumor.member(), m.rumor.state(), m.rumor.incarnation(),
+                m.rumor.member() == self ? 0 : now - m.heardAt)).toList();
     }
 }
--- a/src/main/java/slipfield/membership/Member.java
+++ b/src/main/java/slipfield/membership/Member.java
@@ -5,16 +5,16 @@
 /**
  * An endpoint in the merged view.
  *
- * @param says what each source says of it; one that doesn't name it is not there
+ * @param statusBySource what each source says of it; one that doesn't name it is not there
  * @param used whether the decision module may choose it
- * @param why the reason for that
+ * @param reason the reason for that
  * @param sinceMs when that began
- * @param againMs when it is used again at the earliest, where it is damped; 0 otherwise
+ * @param usableAgainMs when it is used again at the earliest, where it is damped; 0 otherwise
  */
-public record Member(String id, Instance endpoint, Map<String, Status> says, boolean used, Why why, long sinceMs,
-        long againMs) {
+public record Member(String id, Instance endpoint, Map<String, Status> statusBySource, boolean used, Reason reason, long sinceMs,
+        long usableAgainMs) {
     /** Why an endpoint is used, or isn't. */
-    public enum Why {
+    public enum Reason {
         /** All that name it let it be used. */
         STEADY(true),
         /** It should not be used, but the pool would lose too much at once without it. */
@@ -30,7 +30,7 @@
 
         private final boolean used;
 
-        Why(boolean used) {
+        Reason(boolean used) {
             this.used = used;
         }
 
--- a/src/main/java/slipfield/membership/Membership.java
+++ b/src/main/java/slipfield/membership/Membership.java
@@ -25,7 +25,7 @@
     private static final double FORGOTTEN = 0.05;
     private static final int MOST_DOUBLINGS = 30;
 
-    private final Rules rules;
+    private final MembershipRules rules;
     /** In order of precedence: where several name an endpoint, the first one's attributes hold. */
     private final Map<String, Source> sources = new LinkedHashMap<>();
     private final Map<Long, Pool> pools = new TreeMap<>();
@@ -43,18 +43,18 @@
     /**
      * How a source is.
      *
-     * @param heard whether it has ever told a view, be it in an earlier life
+     * @param reported whether it has ever told a view, be it in an earlier life
      * @param ageMs how old its last word is
-     * @param trouble why it can't be read now
+     * @param error why it can't be read now
      */
-    public record SourceState(boolean heard, long ageMs, int endpoints, Optional<String> trouble) {
+    public record SourceState(boolean reported, long ageMs, int endpoints, Optional<String> error) {
     }
 
     /** What has changed: members that are new or otherwise than before, and ids that are no members any more. */
-    public record Change(List<Member> members, List<String> gone) {
+    public record Change(List<Member> members, List<String> removed) {
         /** Whether it says nothing. */
         public boolean isEmpty() {
-            return members.isEmpty() && gone.isEmpty();
+            return members.isEmpty() && removed.isEmpty();
         }
     }
 
@@ -100,28 +100,28 @@
     }
 
     /** Sources in order of precedence, the first one's attributes before the others'. */
-    public Membership(Rules rules, List<String> names) {
+    public Membership(MembershipRules rules, List<String> names) {
         this.rules = rules;
         names.forEach(name -> sources.put(name, new Source()));
     }
 
     /** The whole list of a source, as it is now. */
-    public Change said(long nowMs, String name, Collection<Instance> whole) {
+    public Change update(long nowMs, String name, Collection<Instance> whole) {
         return take(nowMs, name, whole, nowMs);
     }
 
     /** What a source had said before this life, so long ago; what it has said in this life is not touched. */
-    public Change recalled(long nowMs, String name, Collection<Instance> whole, long ageMs) {
+    public Change restore(long nowMs, String name, Collection<Instance> whole, long ageMs) {
         return sources.get(name).heard ? new Change(List.of(), List.of()) : take(nowMs, name, whole, nowMs - ageMs);
     }
 
     /** A source can't be read: its last word stands. */
-    public void failed(String name, String why) {
+    public void sourceFailed(String name, String why) {
         sources.get(name).trouble = Optional.of(why);
     }
 
     /** A source has answered that nothing is new. */
-    public void confirmed(long nowMs, String name) {
+    public void sourceConfirmed(long nowMs, String name) {
         Source source = sources.get(name);
         source.heardMs = nowMs;
         source.trouble = Optional.empty();
@@ -136,7 +136,7 @@
     }
 
     /** When {@link #tick} has something to do, if nothing is said before. */
-    public long nextMs() {
+    public long nextTickMs() {
         return pools.values().stream().mapToLong(p -> p.againMs).min().orElse(Long.MAX_VALUE);
     }
 
@@ -150,12 +150,12 @@
     }
 
     /** What a source said last, whatever became of it. It does not change when the source says something else. */
-    public Collection<Instance> told(String name) {
+    public Collection<Instance> lastInstances(String name) {
         return Collections.unmodifiableCollection(sources.get(name).instances.values());
     }
 
     /** Each source's state. */
-    public Map<String, SourceState> sources(long nowMs) {
+    public Map<String, SourceState> sourceStates(long nowMs) {
         Map<String, SourceState> states = new LinkedHashMap<>();
         sources.forEach((name, s) -> states.put(name, new SourceState(s.heard, s.heard ? nowMs - s.heardMs : 0,
                 s.instances.size(), s.trouble)));
@@ -163,7 +163,7 @@
     }
 
     /** Destinations whose floor holds, and since when. */
-    public Map<Long, Long> held() {
+    public Map<Long, Long> heldPools() {
         Map<Long, Long> held = new TreeMap<>();
         pools.forEach((destination, pool) -> pool.heldSince.ifPresent(since -> held.put(destination, since)));
         return held;
@@ -273,24 +273,24 @@
     private void decide(long nowMs, Pool pool, List<Member> changed, List<String> gone) {
         pool.dirty = false;
         pool.againMs = Long.MAX_VALUE;
-        Map<String, Member.Why> sorted = new HashMap<>();
+        Map<String, Member.Reason> sorted = new HashMap<>();
         Set<String> used = new HashSet<>();
         Set<String> damped = new HashSet<>();
         for (Endpoint e : pool.endpoints.values()) {
-            Member.Why why = why(nowMs, e);
+            Member.Reason why = why(nowMs, e);
             sorted.put(e.key, why);
-            if (why == Member.Why.STEADY) {
+            if (why == Member.Reason.STEADY) {
                 used.add(e.key);
-            } else if (why == Member.Why.DAMPED) {
+            } else if (why == Member.Reason.DAMPED) {
                 damped.add(e.key);
                 pool.againMs = Math.min(pool.againMs, steadyAt(e));
             }
         }
-        held(nowMs, pool, used, damped).forEach(key -> sorted.put(key, Member.Why.HELD));
+        held(nowMs, pool, used, damped).forEach(key -> sorted.put(key, Member.Reason.HELD));
         List<Endpoint> forgotten = new ArrayList<>();
         for (Endpoint e : pool.endpoints.values()) {
-            Member.Why why = sorted.get(e.key);
-            if (why != Member.Why.GONE) {
+            Member.Reason why = sorted.get(e.key);
+            if (why != Member.Reason.GONE) {
                 show(nowMs, e, why, changed);
                 continue;
             }
@@ -311,21 +311,21 @@
         });
     }
 
-    private Member.Why why(long nowMs, Endpoint e) {
+    private Member.Reason why(long nowMs, Endpoint e) {
         if (e.status.isEmpty()) {
-            return Member.Why.GONE;
+            return Member.Reason.GONE;
         }
         return switch (e.status.get()) {
-            case DRAINING -> Member.Why.DRAINING;
-            case CRITICAL -> Member.Why.CRITICAL;
-            case PASSING, WARNING -> nowMs < steadyAt(e) ? Member.Why.DAMPED : Member.Why.STEADY;
+            case DRAINING -> Member.Reason.DRAINING;
+            case CRITICAL -> Member.Reason.CRITICAL;
+            case PASSING, WARNING -> nowMs < steadyAt(e) ? Member.Reason.DAMPED : Member.Reason.STEADY;
         };
     }
 
-    private void show(long nowMs, Endpoint e, Member.Why why, List<Member> changed) {
+    private void show(long nowMs, Endpoint e, Member.Reason why, List<Member> changed) {
         Member was = e.shown;
-        long since = was != null && was.why() == why ? was.sinceMs() : nowMs;
-        long again = why == Member.Why.DAMPED ? steadyAt(e) : 0;
+        long since = was != null && was.reason() == why ? was.sinceMs() : nowMs;
+        long again = why == Member.Reason.DAMPED ? steadyAt(e) : 0;
         Member now = new Member(e.id, e.told, e.says, why.used(), why, since, again);
         if (!now.equals(was)) {
             e.shown = now;
--- a/src/main/java/slipfield/membership/Rules.java
+++ b/src/main/java/slipfield/membership/MembershipRules.java
@@ -10,12 +10,12 @@
  * @param windowMs what is lost within it counts as lost at once
  * @param acceptMs a shrunken view that has stood for so long is the new truth, unless it is empty
  */
-public record Rules(long steadyMs, long mostSteadyMs, long forgiveMs, double mostShrink, long windowMs, long acceptMs) {
+public record MembershipRules(long steadyMs, long mostSteadyMs, long forgiveMs, double mostShrink, long windowMs, long acceptMs) {
     /** What holds where an operator says nothing. */
-    public static final Rules DEFAULT = new Rules(1000, 60_000, 30_000, 0.5, 10_000, 30_000);
+    public static final MembershipRules DEFAULT = new MembershipRules(1000, 60_000, 30_000, 0.5, 10_000, 30_000);
 
     /** Checks the ranges; the error names the field. */
-    public Rules {
+    public MembershipRules {
         check(steadyMs >= 0, "steady is 0 or more");
         check(mostSteadyMs >= steadyMs, "most_steady is steady or more");
         check(forgiveMs > 0, "forgive is over 0");
--- a/src/test/java/slipfield/group/decide/GroupTest.java
+++ b/src/test/java/slipfield/group/decide/SwimMemberTest.java
@@ -6,11 +6,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import slipfield.group.NoteForm;
+import slipfield.group.GossipCodec;
 import slipfield.rig.plan.Conditions;
 
 /** What all members see together, on drawn networks. */
-class GroupTest {
+class SwimMemberTest {
     private static final int SEEDS = 8;
     private static final Conditions WHOLE = new Conditions(3, 25, 0, 0, 0, false);
     private static final Conditions HELD = new Conditions(0, 0, 0, 0, 0, true);
@@ -20,17 +20,17 @@
     @ValueSource(ints = {3, 14, 100})
     void theDeadAreKnownToAllAndNobodyElseIsDead(int size) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            GroupWorld world = new GroupWorld(seed, size);
+            SwimSimulation world = new SwimSimulation(seed, size);
             world.until(20_000);
             assertEquals(0, world.falseDeaths());
             int dead = size * 7 / 10;
             for (int i = 0; i < dead; i++) {
                 world.gone[i] = true;
             }
-            double turns = size * Pace.DEFAULT.periodMs() + 120_000;
+            double turns = size * SwimSettings.DEFAULT.periodMs() + 120_000;
             world.until(20_000 + turns);
             for (int i = 0; i < dead; i++) {
-                assertEquals(world.living(), world.held(i, Standing.DEAD), "member " + i + " of " + size + ", seed " + seed);
+                assertEquals(world.living(), world.held(i, MemberState.DEAD), "member " + i + " of " + size + ", seed " + seed);
             }
             assertEquals(0, world.falseDeaths(), "seed " + seed);
             for (int i = 0; i < dead; i++) {
@@ -46,7 +46,7 @@
     void lossAloneKillsNobody() {
         long wrong = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            GroupWorld world = new GroupWorld(seed, 20);
+            SwimSimulation world = new SwimSimulation(seed, 20);
             world.all((from, to) -> new Conditions(3, 25, 0.2, 0.1, 0, false));
             for (double at = 5000; at <= 180_000; at += 5000) {
                 wrong += world.until(at).falseDeaths();
@@ -59,7 +59,7 @@
     @Test
     void lateNotesKillNobody() {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            GroupWorld world = new GroupWorld(seed, 12);
+            SwimSimulation world = new SwimSimulation(seed, 12);
             world.all((from, to) -> new Conditions(500, 100, 0, 0.3, 0, false));
             assertEquals(0, world.until(120_000).falseDeaths());
         }
@@ -69,16 +69,16 @@
     @Test
     void oneThatWasStoppedTakesItselfToBeSlow() {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            GroupWorld world = new GroupWorld(seed, 14);
+            SwimSimulation world = new SwimSimulation(seed, 14);
             world.until(20_000);
             world.stopped[3] = true;
             world.until(80_000);
-            assertEquals(13, world.held(3, Standing.DEAD), "the others have given it up, seed " + seed);
+            assertEquals(13, world.held(3, MemberState.DEAD), "the others have given it up, seed " + seed);
             world.goOn(3);
             for (double at = 80_000; at < 84_000; at += 100) {
                 world.until(at);
                 for (int i = 0; i < 14; i++) {
-                    assertTrue(world.members.get(3).standing(i) != Standing.DEAD, "seed " + seed);
+                    assertTrue(world.members.get(3).state(i) != MemberState.DEAD, "seed " + seed);
                 }
             }
             assertTrue(world.members.get(3).slowness() > 0);
@@ -91,12 +91,12 @@
     @Test
     void twoHalvesComeTogether() {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            GroupWorld world = new GroupWorld(seed, 14);
+            SwimSimulation world = new SwimSimulation(seed, 14);
             world.until(10_000);
             world.all((from, to) -> from % 2 == to % 2 ? WHOLE : HELD);
             world.until(120_000);
-            assertEquals(7, world.held(0, Standing.DEAD), "seed " + seed);
-            assertEquals(7, world.members.get(0).present());
+            assertEquals(7, world.held(0, MemberState.DEAD), "seed " + seed);
+            assertEquals(7, world.members.get(0).presentMembers());
             world.all((from, to) -> WHOLE);
             world.until(220_000);
             assertEquals(0, world.falseDeaths(), "seed " + seed);
@@ -106,11 +106,11 @@
     /** Notes to one get lost, its own arrive: the others ask for it and are not answered, and it hears nothing of that. */
     @Test
     void oneThatHearsNothingIsGivenUpByAll() {
-        GroupWorld world = new GroupWorld(4, 10);
+        SwimSimulation world = new SwimSimulation(4, 10);
         world.until(10_000);
         world.all((from, to) -> to == 5 ? HELD : WHOLE);
         world.until(130_000);
-        assertEquals(9, world.held(5, Standing.DEAD));
+        assertEquals(9, world.held(5, MemberState.DEAD));
         world.all((from, to) -> WHOLE);
         world.until(230_000);
         assertEquals(0, world.falseDeaths());
@@ -119,14 +119,14 @@
     /** What is said of an earlier life does not touch this one; a clock that was set back makes up for it. */
     @Test
     void anOlderLifeSaysNothingOfThisOne() {
-        GroupWorld world = new GroupWorld(5, 5);
+        SwimSimulation world = new SwimSimulation(5, 5);
         world.until(5000);
         world.gone[1] = true;
         world.begin(1, 50);
         world.until(30_000);
-        world.members.get(0).received(world.now(), 2, new Note(Note.Kind.ACK, 2, 999, 2,
-                java.util.List.of(new Word(1, Standing.DEAD, 49))));
-        assertEquals(Standing.ALIVE, world.members.get(0).standing(1));
+        world.members.get(0).received(world.now(), 2, new GossipMessage(GossipMessage.Kind.ACK, 2, 999, 2,
+                java.util.List.of(new MembershipRumor(1, MemberState.DEAD, 49))));
+        assertEquals(MemberState.ALIVE, world.members.get(0).state(1));
         world.gone[1] = true;
         world.begin(1, 3);
         world.until(60_000);
@@ -136,23 +136,23 @@
 
     @Test
     void oneThatSaysItGoesIsNotSuspectedFirst() {
-        GroupWorld world = new GroupWorld(6, 8);
+        SwimSimulation world = new SwimSimulation(6, 8);
         world.until(10_000);
         world.members.get(2).leave();
         world.until(10_100);
         world.gone[2] = true;
         world.until(20_000);
-        assertEquals(7, world.held(2, Standing.LEFT));
+        assertEquals(7, world.held(2, MemberState.LEFT));
     }
 
     /** Bytes a second and member are as many whatever the size, and every note is within what the platform carries. */
     @ParameterizedTest
     @ValueSource(ints = {3, 14, 100, 300})
     void aMembersNotesAreAsManyWhateverTheSize(int size) {
-        GroupWorld world = new GroupWorld(7, size);
+        SwimSimulation world = new SwimSimulation(7, size);
         world.until(60_000);
         double perSecond = world.bytes / 60.0 / size;
         assertTrue(perSecond > 20 && perSecond < 140, perSecond + " bytes a second at " + size);
-        assertTrue(world.longest <= NoteForm.LONGEST);
+        assertTrue(world.longest <= GossipCodec.MAX_BYTES);
     }
 }
--- a/src/test/java/slipfield/group/decide/GroupWorld.java
+++ b/src/test/java/slipfield/group/decide/SwimSimulation.java
@@ -4,14 +4,14 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import slipfield.SimulatedTime;
-import slipfield.group.NoteForm;
+import slipfield.group.GossipCodec;
 import slipfield.rig.plan.Conditions;
 import slipfield.rig.plan.Wire;
 
 /** A group on one clock, with a wire for each ordered pair; members die, stop, go on and come back in a new life. */
-final class GroupWorld extends SimulatedTime {
+final class SwimSimulation extends SimulatedTime {
     final int size;
-    final List<Group> members = new ArrayList<>();
+    final List<SwimMember> members = new ArrayList<>();
     final boolean[] gone;
     final boolean[] stopped;
     long notes;
@@ -21,7 +21,7 @@
     private final SplittableRandom random;
     private final List<List<Runnable>> whileStopped = new ArrayList<>();
 
-    GroupWorld(long seed, int size) {
+    SwimSimulation(long seed, int size) {
         this.size = size;
         this.random = new SplittableRandom(seed);
         this.gone = new boolean[size];
@@ -55,14 +55,14 @@
     /** A life of this member. */
     void begin(int number, long incarnation) {
         gone[number] = false;
-        Group group = new Group(now, number, size, incarnation, Pace.DEFAULT, random.split(), new Group.Actions() {
+        SwimMember group = new SwimMember(now, number, size, incarnation, SwimSettings.DEFAULT, random.split(), new SwimMember.Actions() {
             @Override
-            public void send(int to, Note note) {
-                put(number, to, NoteForm.write(note));
+            public void send(int to, GossipMessage note) {
+                put(number, to, GossipCodec.write(note));
             }
 
             @Override
-            public void changed(int member, Standing standing) {
+            public void changed(int member, MemberState state) {
                 // The view is asked.
             }
         });
@@ -70,7 +70,7 @@
         wake(number, group);
     }
 
-    private void wake(int number, Group group) {
+    private void wake(int number, SwimMember group) {
         at(Math.max(now, group.dueAt()), () -> {
             if (members.get(number) == group && !gone[number]) {
                 run(number, () -> {
@@ -97,8 +97,8 @@
         for (double out : wires[from][to].datagram(now)) {
             at(out, () -> {
                 if (!gone[to]) {
-                    Group group = members.get(to);
-                    run(to, () -> NoteForm.read(note, size).ifPresent(n -> group.received(now, from, n)));
+                    SwimMember group = members.get(to);
+                    run(to, () -> GossipCodec.read(note, size).ifPresent(n -> group.received(now, from, n)));
                 }
             });
         }
@@ -111,16 +111,16 @@
         late.forEach(Runnable::run);
     }
 
-    GroupWorld until(double end) {
+    SwimSimulation until(double end) {
         pass(end);
         return this;
     }
 
     /** How many of those that live hold this member for that. */
-    long held(int member, Standing standing) {
+    long held(int member, MemberState state) {
         long held = 0;
         for (int i = 0; i < size; i++) {
-            held += i != member && !gone[i] && !stopped[i] && members.get(i).standing(member) == standing ? 1 : 0;
+            held += i != member && !gone[i] && !stopped[i] && members.get(i).state(member) == state ? 1 : 0;
         }
         return held;
     }
@@ -137,7 +137,7 @@
     long falseDeaths() {
         long wrong = 0;
         for (int i = 0; i < size; i++) {
-            wrong += gone[i] || stopped[i] ? 0 : held(i, Standing.DEAD);
+            wrong += gone[i] || stopped[i] ? 0 : held(i, MemberState.DEAD);
         }
         return wrong;
     }
--- a/src/test/java/slipfield/membership/MembershipHistoriesTest.java
+++ b/src/test/java/slipfield/membership/MembershipHistoriesTest.java
@@ -17,7 +17,7 @@
 class MembershipHistoriesTest {
     private static final int HISTORIES = 10_000;
     private static final int STEPS = 40;
-    private static final Rules RULES = new Rules(1000, 8000, 5000, 0.5, 3000, 6000);
+    private static final MembershipRules RULES = new MembershipRules(1000, 8000, 5000, 0.5, 3000, 6000);
     private static final List<String> SOURCES = List.of("platform", "consul", "file");
 
     @Test
@@ -53,13 +53,13 @@
                 now += random.nextInt(4) == 0 ? random.nextInt(9000) : random.nextInt(300);
                 Membership.Change change;
                 if (random.nextInt(4) == 0) {
-                    now = Math.max(now, Math.min(now + 20_000, view.nextMs()));
+                    now = Math.max(now, Math.min(now + 20_000, view.nextTickMs()));
                     change = view.tick(now);
                 } else {
                     String source = SOURCES.get(random.nextInt(SOURCES.size()));
                     mutate(said.get(source));
                     note();
-                    change = view.said(now, source, said.get(source).values());
+                    change = view.update(now, source, said.get(source).values());
                 }
                 check(change, "seed " + seed + ", step " + step);
             }
@@ -108,7 +108,7 @@
         }
 
         private void check(Membership.Change change, String at) {
-            change.gone().forEach(applied::remove);
+            change.removed().forEach(applied::remove);
             change.members().forEach(m -> applied.put(m.id(), m));
             List<Member> members = view.members();
             assertEquals(members.size(), members.stream().map(Member::id).distinct().count(), at + ": ids");
@@ -119,19 +119,19 @@
                 String key = m.endpoint().key();
                 long pool = m.endpoint().destination();
                 Status status = worst.get(key);
-                assertEquals(m.why().used(), m.used(), at);
+                assertEquals(m.reason().used(), m.used(), at);
                 if (!m.used()) {
                     continue;
                 }
                 used.computeIfAbsent(pool, p -> new HashSet<>()).add(key);
                 assertTrue(status != Status.DRAINING, at + ": drained and used " + m);
-                if (m.why() == Member.Why.STEADY) {
+                if (m.reason() == Member.Reason.STEADY) {
                     assertTrue(status != null && status.usable(), at + ": " + m);
                     assertTrue(!everUsed.contains(key) || heldBefore.containsKey(pool)
                             || usedBefore.getOrDefault(pool, Set.of()).contains(key)
                             || now - turned.get(key) >= RULES.steadyMs(), at + ": resumed too soon " + m);
                 } else {
-                    assertTrue(view.held().containsKey(pool), at + ": held without a floor " + m);
+                    assertTrue(view.heldPools().containsKey(pool), at + ": held without a floor " + m);
                 }
             }
             floors(worst, used, at);
@@ -139,7 +139,7 @@
             // One that left may have been forgotten: it is new then.
             everUsed.retainAll(worst.keySet());
             usedBefore = used;
-            heldBefore = view.held();
+            heldBefore = view.heldPools();
         }
 
         private void floors(Map<String, Status> worst, Map<Long, Set<String>> used, String at) {
