--- a/src/main/java/slipfield/journal/RecordFormat.java
+++ b/src/main/java/slipfield/journal/RecordFormat.java
@@ -183,9 +183,9 @@
             out.writeLong(key.destination());
             out.writeUTF(key.endpoint());
             out.writeDouble(rate.perMs());
-            // Older versions of the format message a figure here that is no longer read.
+            // Older versions of the format held a figure here that is no longer read.
             out.writeDouble(0);
-            out.writeDouble(rate.toldPerMs());
+            out.writeDouble(rate.reportedPerMs());
         });
     }
 
