--- a/src/main/java/slipfield/agent/Agent.java
+++ b/src/main/java/slipfield/agent/AgentClient.java
@@ -27,7 +27,7 @@
  * The platform's agent, over one kept connection that carries one request at a time. It may go silent
  * without a sign, so each request has a time limit, after which its connection is given up.
  */
-public final class Agent {
+public final class AgentClient {
     private static final int LONGEST_ANSWER = 4 << 20;
     private static final int CONNECT_MS = 1000;
 
@@ -63,12 +63,12 @@
     }
 
     /** Speaks plain HTTP. */
-    public Agent(EventLoop loop, InetSocketAddress address) {
+    public AgentClient(EventLoop loop, InetSocketAddress address) {
         this(loop, address, channel -> { });
     }
 
     /** {@code secured} puts in front of the codec what a connection needs, such as TLS. */
-    public Agent(EventLoop loop, InetSocketAddress address, Consumer<Channel> secured) {
+    public AgentClient(EventLoop loop, InetSocketAddress address, Consumer<Channel> secured) {
         this.loop = loop;
         this.address = address;
         this.bootstrap = new Bootstrap().group(loop).channelFactory(StreamChannel::new)
@@ -90,13 +90,13 @@
      * Guards against a loop that is behind: where each of its rounds takes long, connecting and asking take
      * several, and giving up between two of them would begin it all again, for ever.
      */
-    public void ask(FullHttpRequest request, long limitMs, Consumer<Optional<FullHttpResponse>> then) {
+    public void send(FullHttpRequest request, long limitMs, Consumer<Optional<FullHttpResponse>> then) {
         request.headers().set(HttpHeaderNames.HOST, Config.hostPort(address))
                 .set(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
         Request mine = new Request(then);
         current = mine;
         if (channel != null && channel.isActive()) {
-            send(mine, request, limitMs);
+            write(mine, request, limitMs);
             return;
         }
         Connector.connect(bootstrap, loop, address, new Connector.Listener() {
@@ -104,7 +104,7 @@
             public void connected(Channel fresh) {
                 if (current == mine) {
                     channel = fresh;
-                    send(mine, request, limitMs);
+                    write(mine, request, limitMs);
                 } else {
                     request.release();
                     fresh.close();
@@ -120,7 +120,7 @@
         });
     }
 
-    private void send(Request mine, FullHttpRequest request, long limitMs) {
+    private void write(Request mine, FullHttpRequest request, long limitMs) {
         // The second step is due at once, but after one more look at what the sockets have.
         mine.timer = loop.schedule(() -> {
             if (current == mine) {
--- a/src/main/java/slipfield/amqp/server/AmqpServer.java
+++ b/src/main/java/slipfield/amqp/server/AmqpServer.java
@@ -33,7 +33,7 @@
 import slipfield.log.LoggedTask;
 import slipfield.retry.Retry;
 import slipfield.socket.AcceptLoop;
-import slipfield.socket.Listener;
+import slipfield.socket.ListenerChannel;
 
 /** The listener and its connections, on the core's loop. */
 public final class AmqpServer {
@@ -111,7 +111,8 @@
     }
 
     private InetSocketAddress bind(InetSocketAddress address, Consumer<Channel> first) throws IOException {
-        ChannelFuture bound = new ServerBootstrap().group(acceptLoop.group(), loop).channelFactory(Listener::new).handler(new Listener.AcceptFailures())
+        ChannelFuture bound = new ServerBootstrap().group(acceptLoop.group(), loop).channelFactory(ListenerChannel::new)
+                .handler(new ListenerChannel.AcceptFailureHandler())
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, new WriteBufferWaterMark(LOW_WATER, HIGH_WATER))
@@ -159,7 +160,7 @@
 
     private void endAccepting() {
         if (listeners.stream().noneMatch(Channel::isOpen)) {
-            acceptLoop.end();
+            acceptLoop.shutdown();
         }
     }
 
--- a/src/main/java/slipfield/daemon/Rehearsal.java
+++ b/src/main/java/slipfield/daemon/Rehearsal.java
@@ -7,11 +7,11 @@
 import java.util.concurrent.TimeUnit;
 import slipfield.config.Config;
 import slipfield.core.MessageIntake;
-import slipfield.front.http.Intake;
+import slipfield.front.http.HttpFrontend;
 import slipfield.journal.AnswerRecipient;
 import slipfield.journal.PendingMessage;
 import slipfield.policy.DeliveryPolicy;
-import slipfield.transport.http.Endpoints;
+import slipfield.transport.http.HttpTransport;
 
 /**
  * Messages that nobody sent, through the client side, a decision module and the calls' side of their own, in memory, before the
@@ -32,8 +32,8 @@
     private final Runnable then;
     private final long begun = System.nanoTime();
     private final DeliveryPolicy.Settings settings;
-    private final Intake intake;
-    private final Endpoints endpoints;
+    private final HttpFrontend intake;
+    private final HttpTransport endpoints;
     private final PendingMessage held;
     private final Stage stage = new Stage();
     private final DeliveryPolicy policy;
@@ -46,8 +46,8 @@
         this.mostNanos = TimeUnit.MILLISECONDS.toNanos(mostMs);
         this.then = then;
         this.settings = config.settings();
-        this.intake = new Intake(loop, config.listen(), Integer.MAX_VALUE, stage);
-        this.endpoints = new Endpoints(loop, 1000, 1000, 0, (call, outcome, gone, waitMs, told) -> { });
+        this.intake = new HttpFrontend(loop, config.listen(), Integer.MAX_VALUE, stage);
+        this.endpoints = new HttpTransport(loop, 1000, 1000, 0, (call, outcome, gone, waitMs, told) -> { });
         this.held = new PendingMessage(0, "0123456789abcdef", "rehearsal", "", Optional.of("0123456789abcdef"), 1, 0,
                 new byte[2]);
         this.policy = DeliveryPolicy.create(settings, 0, stage);
@@ -68,9 +68,9 @@
         }
         for (int i = 0; i < SLICE; i++) {
             played++;
-            intake.rehearse(request);
+            intake.warmUp(request);
             decide();
-            endpoints.rehearse(held, ANSWER);
+            endpoints.warmUp(held, ANSWER);
         }
         loop.schedule(this::play, 0, TimeUnit.MILLISECONDS);
     }
--- a/src/main/java/slipfield/directory/Discovery.java
+++ b/src/main/java/slipfield/directory/Discovery.java
@@ -17,7 +17,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import slipfield.agent.Agent;
+import slipfield.agent.AgentClient;
 import slipfield.config.BadInput;
 import slipfield.config.Config;
 import slipfield.core.Directory;
@@ -42,7 +42,7 @@
     private static final Set<String> STATES = Set.of("SERVING", "DRAINING", "DELETED");
 
     private final EventLoop loop;
-    private Agent agent;
+    private AgentClient agent;
     private final Optional<JsonNode> known;
     private final Asking asking;
     private EndpointListener lists;
@@ -53,7 +53,7 @@
     private Optional<Future<?>> pause = Optional.empty();
 
     /** {@code known}: the list that the configuration knew, if any; when it is asked again, {@code asking} decides. */
-    public Discovery(EventLoop loop, Agent agent, Optional<JsonNode> known, Asking asking) {
+    public Discovery(EventLoop loop, AgentClient agent, Optional<JsonNode> known, Asking asking) {
         this.loop = loop;
         this.agent = agent;
         this.known = known;
@@ -77,7 +77,7 @@
      * Asks another agent from now on. Its generations are of another reckoning, so it begins with the whole
      * list; what the old one might still say is not waited for.
      */
-    public void moveTo(Agent other) {
+    public void moveTo(AgentClient other) {
         agent.close();
         pause.ifPresent(p -> p.cancel(false));
         agent = other;
@@ -90,7 +90,7 @@
             Flow.step("list_asked", path);
         }
         long asked = System.nanoTime();
-        agent.ask(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path), waitMs + SILENT_MS,
+        agent.send(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path), waitMs + SILENT_MS,
                 answer -> answered(answer, (System.nanoTime() - asked) / 1e6 - waitMs));
     }
 
--- a/src/main/java/slipfield/directory/consul/Access.java
+++ b/src/main/java/slipfield/directory/consul/Access.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Consumer;
-import slipfield.agent.Agent;
+import slipfield.agent.AgentClient;
 import slipfield.config.BadInput;
 import slipfield.config.Config;
 import slipfield.log.Log;
@@ -48,11 +48,11 @@
     }
 
     /** The agent that is asked at the n-th turn. */
-    Agent agent(EventLoop loop, int turn) {
+    AgentClient agent(EventLoop loop, int turn) {
         InetSocketAddress address = address(turn);
         Consumer<Channel> secured = channel -> tls.ifPresent(context -> channel.pipeline()
                 .addLast(context.newHandler(channel.alloc(), address.getHostString(), address.getPort())));
-        return new Agent(loop, address, secured);
+        return new AgentClient(loop, address, secured);
     }
 
     private InetSocketAddress address(int turn) {
--- a/src/main/java/slipfield/directory/consul/Registration.java
+++ b/src/main/java/slipfield/directory/consul/Registration.java
@@ -17,7 +17,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
-import slipfield.agent.Agent;
+import slipfield.agent.AgentClient;
 import slipfield.log.Log;
 
 /**
@@ -35,7 +35,7 @@
     private final InetSocketAddress address;
     private final String id;
     private final JsonMapper json = JsonMapper.builder().build();
-    private Agent agent;
+    private AgentClient agent;
     private int turn;
     private boolean registered;
     private boolean ended;
@@ -81,7 +81,7 @@
     }
 
     private void put(String path, ObjectNode body) {
-        agent.ask(request(path, body), ANSWER_MS, this::answered);
+        agent.send(request(path, body), ANSWER_MS, this::answered);
     }
 
     private FullHttpRequest request(String path, ObjectNode body) {
@@ -135,7 +135,7 @@
             then.run();
             return;
         }
-        agent.ask(request("/v1/agent/service/deregister/" + id, json.createObjectNode()), ANSWER_MS, answer -> {
+        agent.send(request("/v1/agent/service/deregister/" + id, json.createObjectNode()), ANSWER_MS, answer -> {
             agent.close();
             then.run();
         });
--- a/src/main/java/slipfield/directory/consul/Watch.java
+++ b/src/main/java/slipfield/directory/consul/Watch.java
@@ -18,7 +18,7 @@
 import java.util.Optional;
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
-import slipfield.agent.Agent;
+import slipfield.agent.AgentClient;
 import slipfield.config.BadInput;
 
 /**
@@ -62,7 +62,7 @@
     private final Listener listener;
     private final ObjectMapper json = JsonMapper.builder().build();
     private final BlockingIndex index;
-    private Agent agent;
+    private AgentClient agent;
     private int asked;
     private int failures;
     /** What is asked now is whether anything has changed. */
@@ -115,7 +115,7 @@
         }
         FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, query.toString());
         access.authorize(request);
-        agent.ask(request, limitMs, this::answered);
+        agent.send(request, limitMs, this::answered);
     }
 
     private void answered(Optional<FullHttpResponse> answer) {
--- a/src/main/java/slipfield/front/http/Intake.java
+++ b/src/main/java/slipfield/front/http/HttpFrontend.java
@@ -50,7 +50,7 @@
 import slipfield.log.LoggedTask;
 import slipfield.retry.Retry;
 import slipfield.socket.AcceptLoop;
-import slipfield.socket.Listener;
+import slipfield.socket.ListenerChannel;
 import slipfield.trace.Trace;
 
 /**
@@ -62,7 +62,7 @@
  * byte, the first request of a connection so long after connecting, and one between requests is kept for a
  * while only. When there are too many, those that never asked anything make room first.
  */
-public final class Intake implements Frontend {
+public final class HttpFrontend implements Frontend {
     private static final int LONGEST_BODY = 64 * 1024;
     private static final long SWEEP_MS = 200;
     /** One in so many connections may follow ends. */
@@ -79,7 +79,7 @@
 
     private final EventLoop loop;
     private final MessageIntake desk;
-    private final Hints hints;
+    private final Extensions hints;
     private final Reading reading;
     private final InetSocketAddress address;
     private final int mostClients;
@@ -91,7 +91,7 @@
     /** Absent unless the sender is traced. */
     private Trace trace;
     private AcceptLoop acceptLoop;
-    private Listener listener;
+    private ListenerChannel listener;
     /** Connections that are made may still wait to be accepted. */
     private boolean accepting;
     private boolean closing;
@@ -110,18 +110,18 @@
      * @param waitScope whether a refusal tells what its wait holds for
      * @param follow where ends are asked for; absent: nowhere
      */
-    public record Hints(long reconnectMs, boolean waitScope, Optional<AnswerPolling> follow) {
+    public record Extensions(long reconnectMs, boolean waitScope, Optional<AnswerPolling> follow) {
         /** The protocol alone. */
-        public static final Hints NONE = new Hints(-1, false, Optional.empty());
+        public static final Extensions NONE = new Extensions(-1, false, Optional.empty());
     }
 
     /** Will listen at this address, with so many connections of clients at most. */
-    public Intake(EventLoop loop, InetSocketAddress address, int mostClients, MessageIntake desk) {
-        this(loop, address, mostClients, desk, Hints.NONE);
+    public HttpFrontend(EventLoop loop, InetSocketAddress address, int mostClients, MessageIntake desk) {
+        this(loop, address, mostClients, desk, Extensions.NONE);
     }
 
     /** The same with further words to clients. */
-    public Intake(EventLoop loop, InetSocketAddress address, int mostClients, MessageIntake desk, Hints hints) {
+    public HttpFrontend(EventLoop loop, InetSocketAddress address, int mostClients, MessageIntake desk, Extensions hints) {
         this.hints = hints;
         this.reading = new Reading(desk, hints.follow());
         this.address = address;
@@ -130,8 +130,8 @@
         this.mostClients = mostClients;
         this.crowd = new Crowd(mostClients);
         bootstrap = new ServerBootstrap()
-                .channelFactory(Listener::new)
-                .handler(new Listener.AcceptFailures())
+                .channelFactory(ListenerChannel::new)
+                .handler(new ListenerChannel.AcceptFailureHandler())
                 .option(ChannelOption.SO_BACKLOG, 512)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
@@ -155,12 +155,12 @@
     }
 
     /** Accounts for the reading of requests from now on. */
-    public void traced(Trace by) {
+    public void setTrace(Trace by) {
         trace = by;
     }
 
     /** Answers these bytes as a client's on a connection in memory: the way of every request, with no socket. */
-    public void rehearse(byte[] requests) {
+    public void warmUp(byte[] requests) {
         EmbeddedChannel memory = new EmbeddedChannel();
         handle(memory);
         memory.pipeline().fireChannelActive();
@@ -181,13 +181,13 @@
         return listener.localAddress();
     }
 
-    private Listener bind() throws IOException {
+    private ListenerChannel bind() throws IOException {
         ChannelFuture bound = bootstrap.bind(address).awaitUninterruptibly();
         if (!bound.isSuccess()) {
             throw new IOException("can't listen at " + Config.hostPort(address) + ": " + bound.cause().getMessage()
                     + "; is another sender running there? Set another `listen`, or GW_LISTEN");
         }
-        return (Listener) bound.channel();
+        return (ListenerChannel) bound.channel();
     }
 
     /**
@@ -201,15 +201,15 @@
         hints.follow().ifPresent(AnswerPolling::release);
         // Told behind the connections that were accepted last.
         listener.closeFuture().addListener(closed -> loop.execute(() -> accepting = false));
-        listener.closeFuture().addListener(closed -> acceptLoop.end());
-        listener.acceptRestAndClose();
+        listener.closeFuture().addListener(closed -> acceptLoop.shutdown());
+        listener.acceptPendingAndClose();
     }
 
     @Override
     public void kill() {
         if (listener != null && listener.isOpen()) {
             listener.close().syncUninterruptibly();
-            acceptLoop.end();
+            acceptLoop.shutdown();
         }
     }
 
--- a/src/main/java/slipfield/outcome/PlatformNotices.java
+++ b/src/main/java/slipfield/outcome/PlatformNotices.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import slipfield.agent.Agent;
+import slipfield.agent.AgentClient;
 import slipfield.core.AnswerChannel;
 import slipfield.journal.PendingMessage;
 import slipfield.journal.PendingAnswer;
@@ -41,7 +41,7 @@
     private static final long RETRY_PAUSE_MS = 50;
 
     private final EventLoop loop;
-    private Supplier<Agent> agents;
+    private Supplier<AgentClient> agents;
     private final Consumer<PendingAnswer> acknowledged;
     private final ObjectMapper json = JsonMapper.builder().build();
     /** Notices that are in no unanswered batch. */
@@ -51,16 +51,16 @@
 
     /** A connection with its unanswered batch, and whether it pauses after a failure. */
     private static final class Connection {
-        private final Agent agent;
+        private final AgentClient agent;
         private List<PendingAnswer> batch = List.of();
         private boolean paused;
 
-        Connection(Agent agent) {
+        Connection(AgentClient agent) {
             this.agent = agent;
         }
     }
 
-    public PlatformNotices(EventLoop loop, Supplier<Agent> agents, Consumer<PendingAnswer> acknowledged) {
+    public PlatformNotices(EventLoop loop, Supplier<AgentClient> agents, Consumer<PendingAnswer> acknowledged) {
         this.loop = loop;
         this.agents = agents;
         this.acknowledged = acknowledged;
@@ -98,7 +98,7 @@
     }
 
     /** Sends notices to another agent from now on, also those that the old one has not acknowledged. */
-    public void switchAgent(Supplier<Agent> newAgents) {
+    public void switchAgent(Supplier<AgentClient> newAgents) {
         agents = newAgents;
         for (Connection connection : connections) {
             connection.agent.close();
@@ -139,7 +139,7 @@
         DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST,
                 "/reports", Unpooled.copiedBuffer(lines, StandardCharsets.UTF_8));
         request.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/x-ndjson");
-        connection.agent.ask(request, TIMEOUT_MS, answer -> answered(connection, answer));
+        connection.agent.send(request, TIMEOUT_MS, answer -> answered(connection, answer));
     }
 
     private String line(PendingAnswer answer) {
--- a/src/main/java/slipfield/socket/AcceptLoop.java
+++ b/src/main/java/slipfield/socket/AcceptLoop.java
@@ -7,7 +7,7 @@
 import java.io.IOException;
 import java.util.concurrent.TimeUnit;
 
-/** A thread for {@link Listener}s alone: an accept may hold it up, and nothing else may be. */
+/** A thread for {@link ListenerChannel}s alone: an accept may hold it up, and nothing else may be. */
 public final class AcceptLoop {
     private static final long END_MS = 100;
 
@@ -32,7 +32,7 @@
     }
 
     /** Ends the thread; its listeners must be closed. */
-    public void end() {
+    public void shutdown() {
         group.shutdownGracefully(0, END_MS, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/slipfield/socket/Listener.java
+++ b/src/main/java/slipfield/socket/ListenerChannel.java
@@ -18,7 +18,7 @@
  * an event loop of its own: where a connection was aborted before its accept (ECONNABORTED) the JDK tries again inside the call,
  * for as long as that lasts.
  */
-public final class Listener extends NioServerSocketChannel {
+public final class ListenerChannel extends NioServerSocketChannel {
     /** Well within what a client waits; less would spin where descriptors have run out. */
     private static final long PAUSE_MS = 20;
     /** How often accepting the rest is tried before the listener closes all the same. */
@@ -43,7 +43,7 @@
      * Accepts all that wait and closes, on its own loop. Guards against the system's queue of connections that are made and not
      * accepted yet: closing resets them, with requests in them that were written whole.
      */
-    public void acceptRestAndClose() {
+    public void acceptPendingAndClose() {
         eventLoop().execute(() -> acceptRest(1));
     }
 
@@ -70,7 +70,7 @@
 
     /** Stands before Netty's acceptor, which would accept nothing for a second after each failure. */
     @Sharable
-    public static final class AcceptFailures extends ChannelInboundHandlerAdapter {
+    public static final class AcceptFailureHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             Log.warn("front.accept_failed", "closing", false, "cause", cause);
--- a/src/main/java/slipfield/transport/http/Endpoints.java
+++ b/src/main/java/slipfield/transport/http/HttpTransport.java
@@ -57,7 +57,7 @@
  * Calls to endpoints and the connections that they go over: one call each, kept for the next, the newest
  * idle one first. Each call gets one end, never during the call of {@link #call} or {@link #cancel}.
  */
-public final class Endpoints implements Transport {
+public final class HttpTransport implements Transport {
     /** Idle connections are dropped at this share of the time after which an endpoint drops them. */
     private static final double IDLE_SHARE = 0.8;
     private static final long SWEEP_MS = 500;
@@ -88,7 +88,7 @@
     /** Absent unless the sender is traced. */
     private Trace trace;
 
-    public Endpoints(EventLoop loop, double dialMs, double keepAliveMs, int mostIdle, AttemptListener ends) {
+    public HttpTransport(EventLoop loop, double dialMs, double keepAliveMs, int mostIdle, AttemptListener ends) {
         this.loop = loop;
         this.ends = ends;
         this.idleNanos = (long) (keepAliveMs * IDLE_SHARE * 1e6);
@@ -120,7 +120,7 @@
     }
 
     /** A call of this message, with this answer, on a connection in memory: all but the socket. */
-    public void rehearse(PendingMessage held, byte[] answer) {
+    public void warmUp(PendingMessage held, byte[] answer) {
         Peer peer = new Peer();
         peer.address = InetSocketAddress.createUnresolved("rehearsal", 1);
         Call call = new Call(held, 0, peer, 1000, System.nanoTime(), Double.POSITIVE_INFINITY);
@@ -168,7 +168,7 @@
     }
 
     /** Endpoints that are known. */
-    public int known() {
+    public int knownEndpoints() {
         return peers.size();
     }
 
@@ -215,7 +215,7 @@
     }
 
     /** Accounts for connecting and for answers from now on. */
-    public void traced(Trace by) {
+    public void setTrace(Trace by) {
         trace = by;
     }
 
@@ -228,7 +228,7 @@
     }
 
     /** Idle connections that are kept. */
-    public int kept() {
+    public int idleConnections() {
         return idle;
     }
 
@@ -249,7 +249,7 @@
         Connection newestIdle() {
             while (!idle.isEmpty()) {
                 Connection newest = idle.removeLast();
-                Endpoints.this.idle--;
+                HttpTransport.this.idle--;
                 if (newest.isOpen() && System.nanoTime() - newest.idleSince <= idleNanos) {
                     return newest;
                 }
--- a/src/test/java/slipfield/agent/AgentTest.java
+++ b/src/test/java/slipfield/agent/AgentClientTest.java
@@ -19,7 +19,7 @@
 import slipfield.standin.Stub;
 
 /** The agent's time limit, where it is the loop that is late. */
-class AgentTest {
+class AgentClientTest {
     /** Longer than asking twice on open connections takes, whatever else the machine does. */
     private static final long LIMIT_MS = 2000;
 
@@ -35,8 +35,8 @@
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
 
-    private void ask(Agent agent, String path, long limitMs, Runnable then) {
-        agent.ask(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path), limitMs, a -> {
+    private void ask(AgentClient agent, String path, long limitMs, Runnable then) {
+        agent.send(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path), limitMs, a -> {
             answers.add(a.map(answer -> answer.status().code()).orElse(0));
             then.run();
         });
@@ -59,9 +59,9 @@
                 Stub.status(204, "").come(request, socket);
             }
         });
-        Agent agent = new Agent(loop, stub.address());
-        Agent other = new Agent(loop, stub.address());
-        for (Agent each : List.of(agent, other)) {
+        AgentClient agent = new AgentClient(loop, stub.address());
+        AgentClient other = new AgentClient(loop, stub.address());
+        for (AgentClient each : List.of(agent, other)) {
             loop.execute(() -> ask(each, "/x", 60_000, () -> { }));
             assertEquals(204, answers.poll(30, TimeUnit.SECONDS));
         }
@@ -87,7 +87,7 @@
     @Test
     void aSilentAgentIsGivenUpAndAskedAnew() throws Exception {
         stub = new Stub(Stub.silent());
-        Agent agent = new Agent(loop, stub.address());
+        AgentClient agent = new AgentClient(loop, stub.address());
         loop.execute(() -> ask(agent, "/x", 5, () -> { }));
         assertEquals(0, answers.poll(30, TimeUnit.SECONDS));
         stub.script(Stub.status(204, ""));
--- a/src/test/java/slipfield/directory/DiscoveryTest.java
+++ b/src/test/java/slipfield/directory/DiscoveryTest.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import slipfield.agent.Agent;
+import slipfield.agent.AgentClient;
 import slipfield.core.Directory;
 import slipfield.fleet.Asking;
 import slipfield.standin.Stub;
@@ -43,7 +43,7 @@
 
     private void start(Stub.Script script, Optional<JsonNode> known) throws Exception {
         stub = new Stub(script);
-        discovery = new Discovery(loop, new Agent(loop, stub.address()), known, new Asking(14, new SplittableRandom(5)));
+        discovery = new Discovery(loop, new AgentClient(loop, stub.address()), known, new Asking(14, new SplittableRandom(5)));
         loop.submit(() -> discovery.start((whole, entries) -> {
             if (whole) {
                 wholes.incrementAndGet();
--- a/src/test/java/slipfield/front/http/IntakeTest.java
+++ b/src/test/java/slipfield/front/http/HttpFrontendTest.java
@@ -28,7 +28,7 @@
 import slipfield.standin.Stub;
 
 /** The bound on clients' connections, apart from the sender. */
-class IntakeTest {
+class HttpFrontendTest {
     private static final int MOST = 10;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -134,7 +134,7 @@
     void aClientThatLeftBeforeItsRequestWasReadIsNotTakenOn() throws Exception {
         EventLoop loop = group.next();
         NotingDesk desk = new NotingDesk();
-        Intake intake = new Intake(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MOST, desk);
+        HttpFrontend intake = new HttpFrontend(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MOST, desk);
         InetSocketAddress address = intake.listen();
         CountDownLatch written = new CountDownLatch(1);
         keepBusy(loop, written);
@@ -156,7 +156,7 @@
     void whoHasConnectedBeforeTheListenerClosesIsAnswered() throws Exception {
         EventLoop loop = group.next();
         NotingDesk desk = new NotingDesk();
-        Intake intake = new Intake(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MOST, desk);
+        HttpFrontend intake = new HttpFrontend(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MOST, desk);
         InetSocketAddress address = intake.listen();
         CountDownLatch written = new CountDownLatch(1);
         loop.execute(() -> {
@@ -213,7 +213,7 @@
 
     private List<String> handInAtOnce(TakingDesk desk, String line, String... ids) throws Exception {
         EventLoop loop = group.next();
-        Intake intake = new Intake(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MOST, desk);
+        HttpFrontend intake = new HttpFrontend(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MOST, desk);
         InetSocketAddress address = intake.listen();
         for (int i = 0; i < 3; i++) {
             sockets.add(new Socket(address.getAddress(), address.getPort()));
@@ -264,7 +264,7 @@
     void answersKeepTheOrderOfAConnectionsRequests() throws Exception {
         EventLoop loop = group.next();
         TakingDesk desk = new TakingDesk(true);
-        Intake intake = new Intake(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MOST, desk);
+        HttpFrontend intake = new HttpFrontend(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MOST, desk);
         InetSocketAddress address = intake.listen();
         Socket socket = new Socket(address.getAddress(), address.getPort());
         sockets.add(socket);
@@ -293,7 +293,7 @@
     @Test
     void aCrowdThatConnectsAtOnceStaysWithinTheBound() throws Exception {
         EventLoop loop = group.next();
-        Intake intake = new Intake(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MOST, new NoDesk());
+        HttpFrontend intake = new HttpFrontend(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MOST, new NoDesk());
         InetSocketAddress address = intake.listen();
         CountDownLatch connected = new CountDownLatch(1);
         keepBusy(loop, connected);
@@ -315,7 +315,7 @@
     @Test
     void visitorsMakeRoomBeforeThoseWhoHandInMessages() throws Exception {
         NotingDesk desk = new NotingDesk();
-        Intake intake = new Intake(group.next(), new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MOST, desk);
+        HttpFrontend intake = new HttpFrontend(group.next(), new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MOST, desk);
         InetSocketAddress address = intake.listen();
         Socket customer = new Socket(address.getAddress(), address.getPort());
         sockets.add(customer);
@@ -338,7 +338,7 @@
     void ofThoseThatAskOnceTheLongestIdleIsClosed() throws Exception {
         EventLoop loop = group.next();
         NotingDesk desk = new NotingDesk();
-        Intake intake = new Intake(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MOST, desk);
+        HttpFrontend intake = new HttpFrontend(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MOST, desk);
         InetSocketAddress address = intake.listen();
         for (int i = 0; i < 3 * MOST; i++) {
             Socket once = new Socket(address.getAddress(), address.getPort());
--- a/src/test/java/slipfield/transport/http/EndpointsTest.java
+++ b/src/test/java/slipfield/transport/http/HttpTransportTest.java
@@ -28,7 +28,7 @@
 import slipfield.standin.Stub;
 
 /** Each row of the protocol's table of outcomes, and the connections that calls go over. */
-class EndpointsTest {
+class HttpTransportTest {
     private static final double LONG_MS = 20_000;
 
     private record End(AttemptOutcome outcome, boolean gone, double waitMs) {
@@ -38,13 +38,13 @@
     private final EventLoop loop = group.next();
     private final BlockingQueue<End> ends = new LinkedBlockingQueue<>();
     private final BlockingQueue<Double> told = new LinkedBlockingQueue<>();
-    private Endpoints endpoints;
+    private HttpTransport endpoints;
     private Stub stub;
 
     @BeforeEach
     void open() throws Exception {
         stub = new Stub(Stub.status(200, ""));
-        endpoints = new Endpoints(loop, 1000, 15_000, 4,
+        endpoints = new HttpTransport(loop, 1000, 15_000, 4,
                 (call, outcome, gone, waitMs, limit) -> {
                     told.add(limit.perSecond());
                     ends.add(new End(outcome, gone, waitMs));
@@ -388,7 +388,7 @@
         assertEquals(new End(AttemptOutcome.DELIVERED, false, 0), end());
         Stub.await("its connections are closed", () -> stub.ended() == 2);
         assertEquals(0, kept());
-        assertEquals(0, loop.submit(() -> endpoints.known()).get());
+        assertEquals(0, loop.submit(() -> endpoints.knownEndpoints()).get());
     }
 
     @Test
@@ -415,6 +415,6 @@
     }
 
     private int kept() {
-        return loop.submit(() -> endpoints.kept()).syncUninterruptibly().getNow();
+        return loop.submit(() -> endpoints.idleConnections()).syncUninterruptibly().getNow();
     }
 }
