--- a/src/main/java/slipfield/agent/AgentClient.java
+++ b/src/main/java/slipfield/agent/AgentClient.java
@@ -24,12 +24,12 @@
 import slipfield.socket.StreamChannel;
 
 /**
- * The platform's agent, over one kept connection that carries one request at a time. It may go silent
- * without a sign, so each request has a time limit, after which its connection is given up.
+ * HTTP client of the platform's agent. It uses one persistent connection and sends one request at a time. The agent may stop
+ * answering without closing the connection, so each request has a time limit; when it expires, the connection is closed.
  */
 public final class AgentClient {
-    private static final int LONGEST_ANSWER = 4 << 20;
-    private static final int CONNECT_MS = 1000;
+    private static final int MAX_ANSWER_BYTES = 4 << 20;
+    private static final int CONNECT_TIMEOUT_MS = 1000;
 
     private final EventLoop loop;
     private final InetSocketAddress address;
@@ -38,76 +38,82 @@
     private Request current;
 
     private final class Request {
-        private final Consumer<Optional<FullHttpResponse>> then;
+        private final Consumer<Optional<FullHttpResponse>> callback;
         private Future<?> timer;
 
-        Request(Consumer<Optional<FullHttpResponse>> then) {
-            this.then = then;
+        Request(Consumer<Optional<FullHttpResponse>> callback) {
+            this.callback = callback;
         }
 
-        /** There is none while its connection is not up yet. */
+        /** Cancels the time limit. No timer is set while the connection is being established. */
         private void stopTimer() {
             if (timer != null) {
                 timer.cancel(false);
             }
         }
 
-        /** Answers once; what comes later is nobody's. */
+        /** Passes the answer on, unless the request has ended already. */
         void end(Optional<FullHttpResponse> answer) {
             if (current == this) {
                 current = null;
                 stopTimer();
-                then.accept(answer);
+                callback.accept(answer);
             }
         }
     }
 
-    /** Speaks plain HTTP. */
+    /** Creates a client that uses plain HTTP. */
     public AgentClient(EventLoop loop, InetSocketAddress address) {
         this(loop, address, channel -> { });
     }
 
-    /** {@code secured} puts in front of the codec what a connection needs, such as TLS. */
-    public AgentClient(EventLoop loop, InetSocketAddress address, Consumer<Channel> secured) {
+    /**
+     * Creates a client with further channel handlers.
+     *
+     * @param addHandlers adds handlers to a new connection, such as TLS; they precede the HTTP codec
+     */
+    public AgentClient(EventLoop loop, InetSocketAddress address, Consumer<Channel> addHandlers) {
         this.loop = loop;
         this.address = address;
         this.bootstrap = new Bootstrap().group(loop).channelFactory(StreamChannel::new)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(Channel fresh) {
-                        secured.accept(fresh);
-                        fresh.pipeline().addLast(new HttpClientCodec(),
-                                new HttpObjectAggregator(LONGEST_ANSWER), new Answers());
+                    protected void initChannel(Channel newChannel) {
+                        addHandlers.accept(newChannel);
+                        newChannel.pipeline().addLast(new HttpClientCodec(),
+                                new HttpObjectAggregator(MAX_ANSWER_BYTES), new AnswerHandler());
                     }
                 });
     }
 
     /**
-     * Sends a request; exactly one answer follows, empty if none came within the limit, which counts from when
-     * the request goes out on an open connection. When it has passed, what has come by then is read first.
-     * Guards against a loop that is behind: where each of its rounds takes long, connecting and asking take
-     * several, and giving up between two of them would begin it all again, for ever.
+     * Sends a request and calls {@code callback} once, unless {@link #close} is called before: with the answer, or with an empty
+     * value if none came within the time limit. The limit counts from when the request is written to an established connection,
+     * and data that has arrived when it expires is read first. Connecting and sending take several iterations of the event loop;
+     * if each iteration is slow and the request were given up between two of them, every repeat would fail in the same way.
+     *
+     * @param limitMs the time limit in milliseconds
      */
-    public void send(FullHttpRequest request, long limitMs, Consumer<Optional<FullHttpResponse>> then) {
+    public void send(FullHttpRequest request, long limitMs, Consumer<Optional<FullHttpResponse>> callback) {
         request.headers().set(HttpHeaderNames.HOST, Config.hostPort(address))
                 .set(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
-        Request mine = new Request(then);
-        current = mine;
+        Request pending = new Request(callback);
+        current = pending;
         if (channel != null && channel.isActive()) {
-            write(mine, request, limitMs);
+            write(pending, request, limitMs);
             return;
         }
         Connector.connect(bootstrap, loop, address, new Connector.Listener() {
             @Override
-            public void connected(Channel fresh) {
-                if (current == mine) {
-                    channel = fresh;
-                    write(mine, request, limitMs);
+            public void connected(Channel newChannel) {
+                if (current == pending) {
+                    channel = newChannel;
+                    write(pending, request, limitMs);
                 } else {
                     request.release();
-                    fresh.close();
+                    newChannel.close();
                 }
             }
 
@@ -115,22 +121,22 @@
             public void failed(Throwable cause) {
                 Log.warn("agent.connect_failed", "agent", Config.hostPort(address), "cause", cause);
                 request.release();
-                mine.end(Optional.empty());
+                pending.end(Optional.empty());
             }
         });
     }
 
-    private void write(Request mine, FullHttpRequest request, long limitMs) {
-        // The second step is due at once, but after one more look at what the sockets have.
-        mine.timer = loop.schedule(() -> {
-            if (current == mine) {
-                mine.timer = loop.schedule(() -> fail(mine), 0, TimeUnit.MILLISECONDS);
+    private void write(Request pending, FullHttpRequest request, long limitMs) {
+        // The second task runs at once, but only after the event loop has read from its sockets once more.
+        pending.timer = loop.schedule(() -> {
+            if (current == pending) {
+                pending.timer = loop.schedule(() -> timeOut(pending), 0, TimeUnit.MILLISECONDS);
             }
         }, limitMs, TimeUnit.MILLISECONDS);
         channel.writeAndFlush(request);
     }
 
-    private void fail(Request request) {
+    private void timeOut(Request request) {
         disconnect();
         request.end(Optional.empty());
     }
@@ -142,7 +148,10 @@
         }
     }
 
-    /** Gives up what is out, without an answer: its asker has turned to another agent. */
+    /**
+     * Closes the connection and drops the request in progress without calling its callback. Callers use it when they switch to
+     * another agent.
+     */
     public void close() {
         if (current != null) {
             current.stopTimer();
@@ -151,7 +160,7 @@
         disconnect();
     }
 
-    private final class Answers extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private final class AnswerHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
             if (ctx.channel() != channel || current == null || answer.decoderResult().isFailure()) {
--- a/src/main/java/slipfield/agent/package-info.java
+++ b/src/main/java/slipfield/agent/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The HTTP connection to the platform's agent on this machine, over which its list is watched and its notices are sent.
+ * HTTP client of the platform's agent on the local machine, which serves the endpoint list and receives notices.
  */
 package slipfield.agent;
--- a/src/main/java/slipfield/socket/AcceptLoop.java
+++ b/src/main/java/slipfield/socket/AcceptLoop.java
@@ -7,9 +7,12 @@
 import java.io.IOException;
 import java.util.concurrent.TimeUnit;
 
-/** A thread for {@link ListenerChannel}s alone: an accept may hold it up, and nothing else may be. */
+/**
+ * An event loop with one thread that runs {@link ListenerChannel}s only. An accept call may block this thread, so no other
+ * channel may be registered with it.
+ */
 public final class AcceptLoop {
-    private static final long END_MS = 100;
+    private static final long SHUTDOWN_TIMEOUT_MS = 100;
 
     private final EventLoopGroup group;
 
@@ -17,22 +20,23 @@
         this.group = group;
     }
 
-    /** Opens one; fails while the system has no selector to give. */
+    /** Starts the event loop. Fails if the system cannot open a selector, for example when file descriptors have run out. */
     public static AcceptLoop open() throws IOException {
         try {
-            return new AcceptLoop(new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("accept", true), NioIoHandler.newFactory()));
+            return new AcceptLoop(new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("accept", true),
+                    NioIoHandler.newFactory()));
         } catch (IllegalStateException e) {
             throw new IOException("no selector can be opened", e);
         }
     }
 
-    /** What a bootstrap takes as the group of its listeners. */
+    /** The parent group for a server bootstrap. */
     public EventLoopGroup group() {
         return group;
     }
 
-    /** Ends the thread; its listeners must be closed. */
+    /** Stops the thread. All listener channels on it must be closed before. */
     public void shutdown() {
-        group.shutdownGracefully(0, END_MS, TimeUnit.MILLISECONDS);
+        group.shutdownGracefully(0, SHUTDOWN_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/slipfield/socket/Connector.java
+++ b/src/main/java/slipfield/socket/Connector.java
@@ -8,24 +8,24 @@
 import java.nio.channels.ClosedChannelException;
 
 /**
- * Connects, and tells the outcome once, on the event loop, never inside the call. Where no socket can be opened Netty's future
- * carries a channel that belongs to no loop, completes on a thread of its own, and throws when that channel is closed; a
- * listener on the future itself would meet all three.
+ * Opens a connection and reports the result exactly once, on the event loop and never from within the call. A listener on
+ * Netty's connect future would have to handle the case that no socket can be opened: the future then holds a channel that is
+ * registered with no event loop, it completes on another thread, and closing that channel throws.
  */
 public final class Connector {
-    /** Who asked for a connection. */
+    /** Receives the result of a connection attempt. */
     public interface Listener {
-        /** It is up, and the listener's from now on. */
+        /** The connection is established. From now on the listener owns the channel and has to close it. */
         void connected(Channel channel);
 
-        /** There is none, and nothing is left to close. */
+        /** The connection could not be established. There is no channel to close. */
         void failed(Throwable cause);
     }
 
     private Connector() {
     }
 
-    /** Connects by this bootstrap, whose event loop this is. */
+    /** Connects to an address with this bootstrap. {@code loop} must be the bootstrap's event loop. */
     public static void connect(Bootstrap bootstrap, EventLoop loop, SocketAddress address, Listener listener) {
         ChannelFuture connecting = bootstrap.connect(address);
         connecting.addListener(done -> loop.execute(() -> {
@@ -34,7 +34,7 @@
             } else if (connecting.channel().isActive()) {
                 listener.connected(connecting.channel());
             } else {
-                // Its pipeline is empty by now.
+                // The channel was closed before this task ran; its pipeline is empty, so no handler would notice.
                 listener.failed(new ClosedChannelException());
             }
         }));
--- a/src/main/java/slipfield/socket/ListenerChannel.java
+++ b/src/main/java/slipfield/socket/ListenerChannel.java
@@ -14,15 +14,18 @@
 import slipfield.log.Log;
 
 /**
- * A listening socket that goes on after an accept that failed, and takes up whoever has connected before it closes. It belongs on
- * an event loop of its own: where a connection was aborted before its accept (ECONNABORTED) the JDK tries again inside the call,
- * for as long as that lasts.
+ * A listening socket that continues after a failed accept and can accept all pending connections before it closes. It must run
+ * on an {@link AcceptLoop}: when a connection is aborted before it is accepted (ECONNABORTED), the JDK retries inside the accept
+ * call until that error stops, which blocks the thread.
  */
 public final class ListenerChannel extends NioServerSocketChannel {
-    /** Well within what a client waits; less would spin where descriptors have run out. */
-    private static final long PAUSE_MS = 20;
-    /** How often accepting the rest is tried before the listener closes all the same. */
-    private static final int MOST_TRIES = 50;
+    /**
+     * Delay after a failed accept. It is far below the time-outs of clients; a shorter one would spin while file descriptors have
+     * run out.
+     */
+    private static final long RETRY_DELAY_MS = 20;
+    /** Attempts to accept the pending connections; after the last one the socket is closed even if some are left. */
+    private static final int MAX_TRIES = 50;
 
     @Override
     protected int doReadMessages(List<Object> accepted) throws Exception {
@@ -34,41 +37,45 @@
             accepted.add(new StreamChannel(this, connection));
         } catch (RuntimeException e) {
             connection.close();
-            throw new IOException("an accepted connection can't be used", e);
+            throw new IOException("the channel of an accepted connection could not be created", e);
         }
         return 1;
     }
 
     /**
-     * Accepts all that wait and closes, on its own loop. Guards against the system's queue of connections that are made and not
-     * accepted yet: closing resets them, with requests in them that were written whole.
+     * Accepts all pending connections and closes the socket, asynchronously on its event loop. The kernel queues connections that
+     * are established but not accepted yet; closing the socket at once would reset them, including those that already hold
+     * complete requests.
      */
     public void acceptPendingAndClose() {
-        eventLoop().execute(() -> acceptRest(1));
+        eventLoop().execute(() -> acceptPending(1));
     }
 
-    private void acceptRest(int tries) {
-        List<Object> rest = new ArrayList<>();
+    private void acceptPending(int tries) {
+        List<Object> pending = new ArrayList<>();
         boolean failed = false;
         try {
-            while (doReadMessages(rest) > 0) {
-                // Until none waits.
+            while (doReadMessages(pending) > 0) {
+                // Repeat until the queue is empty.
             }
         } catch (Exception e) {
             failed = true;
             Log.warn("front.accept_failed", "closing", true, "tries", tries, "cause", e);
         }
-        for (Object accepted : rest) {
+        for (Object accepted : pending) {
             pipeline().fireChannelRead(accepted);
         }
-        if (failed && tries < MOST_TRIES && isOpen()) {
-            eventLoop().schedule(() -> acceptRest(tries + 1), PAUSE_MS, TimeUnit.MILLISECONDS);
+        if (failed && tries < MAX_TRIES && isOpen()) {
+            eventLoop().schedule(() -> acceptPending(tries + 1), RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
         } else {
             close();
         }
     }
 
-    /** Stands before Netty's acceptor, which would accept nothing for a second after each failure. */
+    /**
+     * Logs failed accepts and pauses accepting for a short time. It precedes Netty's acceptor in the pipeline, which would stop
+     * accepting for a second after each failure.
+     */
     @Sharable
     public static final class AcceptFailureHandler extends ChannelInboundHandlerAdapter {
         @Override
@@ -79,7 +86,7 @@
                 return;
             }
             listener.config().setAutoRead(false);
-            listener.eventLoop().schedule(() -> listener.config().setAutoRead(true), PAUSE_MS, TimeUnit.MILLISECONDS);
+            listener.eventLoop().schedule(() -> listener.config().setAutoRead(true), RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
         }
     }
 }
--- a/src/main/java/slipfield/socket/StreamChannel.java
+++ b/src/main/java/slipfield/socket/StreamChannel.java
@@ -6,17 +6,17 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * A TCP connection whose reads may be interrupted. The JDK tells an interrupted read (EINTR) of a non-blocking socket by a
- * count below -1; Netty takes any count below 0 for the end of the stream and closes a connection that is whole.
+ * A TCP connection that survives interrupted reads. The JDK reports an interrupted read (EINTR) of a non-blocking socket as a
+ * count below -1; Netty treats any negative count as the end of the stream and would close an intact connection.
  */
 public final class StreamChannel extends NioSocketChannel {
     private static final int END_OF_STREAM = -1;
 
-    /** One that is to be connected. */
+    /** Creates a channel that is not connected yet. */
     public StreamChannel() {
     }
 
-    /** One that was accepted. */
+    /** Creates a channel for an accepted connection. */
     public StreamChannel(Channel listener, SocketChannel accepted) {
         super(listener, accepted);
     }
@@ -24,7 +24,7 @@
     @Override
     protected int doReadBytes(ByteBuf bytes) throws Exception {
         int count = super.doReadBytes(bytes);
-        // Nothing was read: the selector reports it again.
+        // An interrupted read has read nothing; the selector reports the socket as readable again.
         return count < END_OF_STREAM ? 0 : count;
     }
 }
--- a/src/main/java/slipfield/socket/package-info.java
+++ b/src/main/java/slipfield/socket/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Sockets as the program uses them, so that a system call that fails for a moment ends one connection attempt and nothing else.
- * Uses {@code log} alone.
+ * TCP channels for Netty that limit the effect of a transient system call failure to one connection attempt. This package uses
+ * only {@code log}.
  */
 package slipfield.socket;
--- a/src/test/java/slipfield/agent/AgentClientTest.java
+++ b/src/test/java/slipfield/agent/AgentClientTest.java
@@ -18,14 +18,14 @@
 import org.junit.jupiter.api.Test;
 import slipfield.standin.Stub;
 
-/** The agent's time limit, where it is the loop that is late. */
+/** The time limit of requests to the agent, also when the event loop is late. */
 class AgentClientTest {
-    /** Longer than asking twice on open connections takes, whatever else the machine does. */
+    /** Much longer than two requests on open connections take, even on a busy machine. */
     private static final long LIMIT_MS = 2000;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    /** The status of each answer, 0 where none came. */
+    /** The status of each answer, 0 if there was none. */
     private final BlockingQueue<Integer> answers = new LinkedBlockingQueue<>();
     private Stub stub;
 
@@ -35,19 +35,19 @@
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
 
-    private void ask(AgentClient agent, String path, long limitMs, Runnable then) {
+    private void send(AgentClient agent, String path, long limitMs, Runnable callback) {
         agent.send(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path), limitMs, a -> {
             answers.add(a.map(answer -> answer.status().code()).orElse(0));
-            then.run();
+            callback.run();
         });
     }
 
     /**
-     * Another connection's answer holds up the loop while the sockets are read; meanwhile this one's comes, and
-     * its limit passes. Given up there, it would be asked anew over and over by a loop that is slow.
+     * The callback of another answer blocks the event loop while it reads its sockets. Meanwhile the answer to this request
+     * arrives and its time limit expires. If the request were given up, a slow event loop would repeat it for ever.
      */
     @Test
-    void anAnswerThatIsThereIsReadHoweverLateTheLoopLooks() throws Exception {
+    void anAnswerThatHasArrivedIsReadAfterTheLimitIfTheEventLoopIsLate() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         CountDownLatch answered = new CountDownLatch(1);
         stub = new Stub((request, socket) -> {
@@ -62,11 +62,11 @@
         AgentClient agent = new AgentClient(loop, stub.address());
         AgentClient other = new AgentClient(loop, stub.address());
         for (AgentClient each : List.of(agent, other)) {
-            loop.execute(() -> ask(each, "/x", 60_000, () -> { }));
+            loop.execute(() -> send(each, "/x", 60_000, () -> { }));
             assertEquals(204, answers.poll(30, TimeUnit.SECONDS));
         }
         loop.execute(() -> {
-            ask(other, "/x", 60_000, () -> {
+            send(other, "/x", 60_000, () -> {
                 answer.countDown();
                 try {
                     answered.await();
@@ -78,20 +78,20 @@
                     Thread.onSpinWait();
                 }
             });
-            ask(agent, "/slow", LIMIT_MS, () -> { });
+            send(agent, "/slow", LIMIT_MS, () -> { });
         });
         assertEquals(204, answers.poll(30, TimeUnit.SECONDS));
-        assertEquals(204, answers.poll(30, TimeUnit.SECONDS), "not given up while it lay unread");
+        assertEquals(204, answers.poll(30, TimeUnit.SECONDS), "the request is not given up while its answer is unread");
     }
 
     @Test
-    void aSilentAgentIsGivenUpAndAskedAnew() throws Exception {
+    void aRequestToASilentAgentTimesOutAndCanBeRepeated() throws Exception {
         stub = new Stub(Stub.silent());
         AgentClient agent = new AgentClient(loop, stub.address());
-        loop.execute(() -> ask(agent, "/x", 5, () -> { }));
+        loop.execute(() -> send(agent, "/x", 5, () -> { }));
         assertEquals(0, answers.poll(30, TimeUnit.SECONDS));
         stub.script(Stub.status(204, ""));
-        loop.execute(() -> ask(agent, "/x", 60_000, () -> { }));
+        loop.execute(() -> send(agent, "/x", 60_000, () -> { }));
         assertEquals(204, answers.poll(30, TimeUnit.SECONDS));
     }
 }
