--- a/src/main/java/slipfield/front/http/HttpFrontend.java
+++ b/src/main/java/slipfield/front/http/HttpFrontend.java
@@ -54,126 +54,133 @@
 import slipfield.trace.Trace;
 
 /**
- * The client side: checks what is handed in, and answers it. A message is journalled before its 202 is
- * written, and told to the module once that is out; what can't be taken is refused, and bad input is
- * answered without harm to anything else.
+ * Accepts messages over HTTP/1.1. Each submission is validated and answered. A message is written to the journal before its 202
+ * is sent, and passed to the delivery policy after that. A message that cannot be accepted is refused; invalid input gets an
+ * error answer and affects no other request.
  *
- * <p>A connection holds a socket, so each has a time limit: a request must be whole so long after its first
- * byte, the first request of a connection so long after connecting, and one between requests is kept for a
- * while only. When there are too many, those that never asked anything make room first.
+ * <p>Each connection occupies a socket, so their number and duration are limited. A request must be complete within a time
+ * limit, which starts with its first byte, or for the first request when the client connects. Idle connections are closed after
+ * a while. When there are too many connections, {@link ClientConnections} selects those to close.
  */
 public final class HttpFrontend implements Frontend {
-    private static final int LONGEST_BODY = 64 * 1024;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
     private static final long SWEEP_MS = 200;
-    /** One in so many connections may follow ends. */
-    private static final int FOLLOWERS = 4;
-    /** Reads of one connection before the next one's turn. */
-    private static final int READS = 16;
+    /** The limit on connections divided by this is the limit on concurrent polls for final answers. */
+    private static final int CONNECTIONS_PER_POLL = 4;
+    /** The number of reads from one connection before the event loop continues with the next one. */
+    private static final int READS_PER_CONNECTION = 16;
     /**
-     * Reads that are looked at in one turn. Guards against a crowd whose requests would hold up what is due: the
-     * turn's ends, notices and calls go out before the next ones are looked at.
+     * The number of reads that are processed in one event-loop iteration. Many requests at once would otherwise delay other work:
+     * the final answers, notices and calls of an iteration are sent before the next reads are processed.
      */
-    private static final int TAKEN_IN_TURN = 16;
-    /** Most bytes of one read: what a client has sent at once is a piece of work too. */
-    private static final int LONGEST_READ = 16 * 1024;
+    private static final int READS_PER_ITERATION = 16;
+    /** Limit on the bytes of one read: it also limits the work that one read can cause. */
+    private static final int MAX_READ_BYTES = 16 * 1024;
 
     private final EventLoop loop;
-    private final MessageIntake desk;
-    private final Extensions hints;
-    private final Reading reading;
+    private final MessageIntake intake;
+    private final Extensions extensions;
+    private final SubmissionParser parser;
     private final InetSocketAddress address;
-    private final int mostClients;
-    private final Crowd crowd;
+    private final int maxClients;
+    private final ClientConnections connections;
     private final ServerBootstrap bootstrap;
-    /** What was read and not looked at yet. */
-    private final Deque<Pending> pending = new ArrayDeque<>();
-    private final List<Taken> taken = new ArrayList<>();
-    /** Absent unless the sender is traced. */
+    /** Data that was received and is not decoded yet. */
+    private final Deque<ReceivedData> receivedData = new ArrayDeque<>();
+    private final List<AcceptedMessage> accepted = new ArrayList<>();
+    /** Null unless the sender is traced. */
     private Trace trace;
     private AcceptLoop acceptLoop;
     private ListenerChannel listener;
-    /** Connections that are made may still wait to be accepted. */
+    /** Whether established connections may still wait to be accepted. */
     private boolean accepting;
     private boolean closing;
 
-    /** A message whose 202 waits for the journal. */
-    private record Taken(Client client, PendingMessage held, boolean keepAlive) {
+    /** An accepted message whose 202 must wait until it is in the journal. */
+    private record AcceptedMessage(ClientConnection client, PendingMessage message, boolean keepAlive) {
     }
 
-    private record Pending(Client client, ChannelHandlerContext ctx, Object bytes) {
+    private record ReceivedData(ClientConnection client, ChannelHandlerContext ctx, Object bytes) {
     }
 
     /**
-     * What clients are told besides the protocol.
+     * Optional extensions of the protocol.
      *
-     * @param reconnectMs over what time they are to connect anew; negative: nothing
-     * @param waitScope whether a refusal tells what its wait holds for
-     * @param follow where ends are asked for; absent: nowhere
+     * @param reconnectMs the period in milliseconds over which clients should spread their reconnects; it is sent with the
+     *     answers to health checks unless it is negative
+     * @param waitScope whether a refusal says if its delay applies to the destination or to the whole sender
+     * @param polling serves polls for final answers; empty if polling is disabled
      */
-    public record Extensions(long reconnectMs, boolean waitScope, Optional<AnswerPolling> follow) {
-        /** The protocol alone. */
+    public record Extensions(long reconnectMs, boolean waitScope, Optional<AnswerPolling> polling) {
+        /** No extensions. */
         public static final Extensions NONE = new Extensions(-1, false, Optional.empty());
     }
 
-    /** Will listen at this address, with so many connections of clients at most. */
-    public HttpFrontend(EventLoop loop, InetSocketAddress address, int mostClients, MessageIntake desk) {
-        this(loop, address, mostClients, desk, Extensions.NONE);
+    /** Creates a frontend without protocol extensions. */
+    public HttpFrontend(EventLoop loop, InetSocketAddress address, int maxClients, MessageIntake intake) {
+        this(loop, address, maxClients, intake, Extensions.NONE);
     }
 
-    /** The same with further words to clients. */
-    public HttpFrontend(EventLoop loop, InetSocketAddress address, int mostClients, MessageIntake desk, Extensions hints) {
-        this.hints = hints;
-        this.reading = new Reading(desk, hints.follow());
+    /**
+     * Creates a frontend; it does not listen yet.
+     *
+     * @param address the address to listen at
+     * @param maxClients the limit on client connections
+     */
+    public HttpFrontend(EventLoop loop, InetSocketAddress address, int maxClients, MessageIntake intake, Extensions extensions) {
+        this.extensions = extensions;
+        this.parser = new SubmissionParser(intake, extensions.polling());
         this.address = address;
         this.loop = loop;
-        this.desk = desk;
-        this.mostClients = mostClients;
-        this.crowd = new Crowd(mostClients);
+        this.intake = intake;
+        this.maxClients = maxClients;
+        this.connections = new ClientConnections(maxClients);
         bootstrap = new ServerBootstrap()
                 .channelFactory(ListenerChannel::new)
                 .handler(new ListenerChannel.AcceptFailureHandler())
                 .option(ChannelOption.SO_BACKLOG, 512)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                // A buffer outside the heap for each read would be allocated and freed by the system each time.
+                // Direct buffers would be allocated and freed by the system for each read.
                 .childOption(ChannelOption.ALLOCATOR, new PreferHeapByteBufAllocator(ByteBufAllocator.DEFAULT))
-                // Reads until nothing is left, so that a close behind a request is seen with it.
+                // Read until the socket is empty, so that a close that follows a request is noticed together with it.
                 .childOption(ChannelOption.RECVBUF_ALLOCATOR,
-                        new AdaptiveRecvByteBufAllocator(64, 2048, LONGEST_READ).respectMaybeMoreData(false).maxMessagesPerRead(READS))
+                        new AdaptiveRecvByteBufAllocator(64, 2048, MAX_READ_BYTES).respectMaybeMoreData(false)
+                                .maxMessagesPerRead(READS_PER_CONNECTION))
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        handle(channel);
+                        addHandlers(channel);
                     }
                 });
     }
 
-    private void handle(Channel channel) {
-        Client client = new Client(channel);
-        channel.pipeline().addLast(client.requests, new HttpResponseEncoder(), new Framing(), new Bodies(client),
-                client);
+    private void addHandlers(Channel channel) {
+        ClientConnection client = new ClientConnection(channel);
+        channel.pipeline().addLast(client.decoder, new HttpResponseEncoder(), new RequestFramingValidator(),
+                new BodyAggregator(client), client);
     }
 
-    /** Accounts for the reading of requests from now on. */
-    public void setTrace(Trace by) {
-        trace = by;
+    /** Records the CPU time of processing requests from now on. */
+    public void setTrace(Trace newTrace) {
+        trace = newTrace;
     }
 
-    /** Answers these bytes as a client's on a connection in memory: the way of every request, with no socket. */
+    /** Processes requests on an in-memory connection, without a socket, so that the code on their path is loaded and compiled. */
     public void warmUp(byte[] requests) {
         EmbeddedChannel memory = new EmbeddedChannel();
-        handle(memory);
+        addHandlers(memory);
         memory.pipeline().fireChannelActive();
         memory.writeInbound(Unpooled.wrappedBuffer(requests));
-        while (!pending.isEmpty()) {
-            takeSome();
+        while (!receivedData.isEmpty()) {
+            processReads();
         }
         memory.finishAndReleaseAll();
     }
 
     @Override
     public InetSocketAddress listen() throws IOException {
-        loop.scheduleWithFixedDelay(LoggedTask.of("front.sweep", crowd::sweep), SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(LoggedTask.of("front.sweep", connections::sweep), SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
         acceptLoop = Retry.within(Retry.START_MS, "accept", AcceptLoop::open);
         bootstrap.group(acceptLoop.group(), loop);
         listener = Retry.within(Retry.START_MS, "listen", this::bind);
@@ -191,15 +198,15 @@
     }
 
     /**
-     * Takes no new connection, and ends each that stands with the answer to its next request. None is closed
-     * between requests: one that is on its way to it would be ended without an answer.
+     * Stops accepting connections and closes each open one with the answer to its next request. Idle connections are not closed
+     * at once, because a request that is already on its way would get no answer.
      */
     @Override
     public void close() {
         closing = true;
-        crowd.closing();
-        hints.follow().ifPresent(AnswerPolling::release);
-        // Told behind the connections that were accepted last.
+        connections.startClosing();
+        extensions.polling().ifPresent(AnswerPolling::release);
+        // This task runs after the registration of the connections that were accepted last.
         listener.closeFuture().addListener(closed -> loop.execute(() -> accepting = false));
         listener.closeFuture().addListener(closed -> acceptLoop.shutdown());
         listener.acceptPendingAndClose();
@@ -215,57 +222,56 @@
 
     @Override
     public void finish() {
-        crowd.finish();
+        connections.closeIdle();
     }
 
-    private void await(Pending read) {
-        pending.add(read);
-        if (pending.size() == 1) {
-            loop.execute(this::takeSome);
+    private void enqueue(ReceivedData read) {
+        receivedData.add(read);
+        if (receivedData.size() == 1) {
+            loop.execute(this::processReads);
         }
     }
 
     /**
-     * Looks at what was read first. What a client has sent that has left by now is dropped unread: it has given
-     * up waiting and hands its message in again, under another id. Guards against a jam that feeds itself:
-     * whatever makes requests stand unread, each would cost all the work of a delivery that counts for nothing,
-     * and come again. It does harm to a client that ends its sending and still waits for the answer, which HTTP
-     * clients don't do.
+     * Processes the oldest reads. Data from a client that has disconnected is discarded: the client has given up waiting and will
+     * submit its message again under another id. Under overload, the delivery of such messages would cost work without any use,
+     * and the repeated submissions would keep the sender overloaded. A client that shuts down its output and still waits for the
+     * answer gets none, but HTTP clients do not do that.
      */
-    private void takeSome() {
+    private void processReads() {
         if (trace != null) {
             trace.enter(Trace.Part.READS);
         }
-        for (int i = 0; i < TAKEN_IN_TURN && !pending.isEmpty(); i++) {
-            Pending first = pending.peek();
+        for (int i = 0; i < READS_PER_ITERATION && !receivedData.isEmpty(); i++) {
+            ReceivedData first = receivedData.peek();
             try {
                 if (first.client.channel.isActive()) {
-                    first.client.requests.decode(first.ctx, first.bytes);
+                    first.client.decoder.decode(first.ctx, first.bytes);
                 } else {
                     ReferenceCountUtil.release(first.bytes);
                 }
             } catch (Exception e) {
-                // A fault over one request must not leave those behind it unanswered.
+                // An error in one request must not leave the following ones unanswered.
                 Log.warn("front.request_failed", "cause", e);
                 first.client.channel.close();
             } finally {
                 first.client.unread--;
-                pending.remove();
+                receivedData.remove();
             }
         }
-        settle();
+        answerAccepted();
         if (trace != null) {
             trace.leave();
         }
-        if (!pending.isEmpty()) {
-            // Not at once: the sockets are looked at in between, for the list and for answers.
-            loop.schedule(this::takeSome, 0, TimeUnit.MILLISECONDS);
+        if (!receivedData.isEmpty()) {
+            // A scheduled task lets the event loop read from its sockets first, for the endpoint list and for answers.
+            loop.schedule(this::processReads, 0, TimeUnit.MILLISECONDS);
         }
     }
 
     @Override
     public int openConnections() {
-        return crowd.size();
+        return connections.size();
     }
 
     @Override
@@ -273,100 +279,101 @@
         return accepting;
     }
 
-    /** Whether a 202 waits for the journal on this connection, or for this id. */
-    private boolean awaited(Client client, String id) {
-        for (Taken t : taken) {
-            if (t.client == client || t.held.id.equals(id)) {
+    /** Whether an accepted message of this connection, or with this id, still waits for the journal. */
+    private boolean awaitsJournal(ClientConnection client, String id) {
+        for (AcceptedMessage a : accepted) {
+            if (a.client == client || a.message.id.equals(id)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Answers all whose messages were taken, once these are in the journal, in one write. */
-    private void settle() {
-        if (taken.isEmpty()) {
+    /** Writes all accepted messages to the journal in one write, and answers their clients. */
+    private void answerAccepted() {
+        if (accepted.isEmpty()) {
             return;
         }
-        boolean written = desk.writeAccepted();
-        List<Taken> told = List.copyOf(taken);
-        taken.clear();
-        for (Taken t : told) {
-            if (written || desk.isRecorded(t.held)) {
-                t.client.end(t.keepAlive, answer(HttpResponseStatus.ACCEPTED, ""))
-                        .addListener(f -> desk.acceptanceReported(t.held, f.isSuccess()));
+        boolean written = intake.writeAccepted();
+        List<AcceptedMessage> batch = List.copyOf(accepted);
+        accepted.clear();
+        for (AcceptedMessage a : batch) {
+            if (written || intake.isRecorded(a.message)) {
+                a.client.send(a.keepAlive, answer(HttpResponseStatus.ACCEPTED, ""))
+                        .addListener(f -> intake.acceptanceReported(a.message, f.isSuccess()));
             } else {
-                desk.acceptanceReported(t.held, false);
-                t.client.end(t.keepAlive, answer(HttpResponseStatus.SERVICE_UNAVAILABLE, "no room"));
+                intake.acceptanceReported(a.message, false);
+                a.client.send(a.keepAlive, answer(HttpResponseStatus.SERVICE_UNAVAILABLE, "no room"));
             }
         }
     }
 
-    /** Netty's decoder, which tells of first bytes and of what lies behind a whole request. */
-    private final class Requests extends HttpRequestDecoder {
-        private final Client client;
+    /** Netty's decoder, which queues received data first and reports whether data remains after a complete request. */
+    private final class RequestDecoder extends HttpRequestDecoder {
+        private final ClientConnection client;
 
-        Requests(Client client) {
+        RequestDecoder(ClientConnection client) {
             this.client = client;
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object bytes) throws Exception {
-            client.begun();
+            client.dataReceived();
             client.unread++;
-            await(new Pending(client, ctx, bytes));
+            enqueue(new ReceivedData(client, ctx, bytes));
         }
 
         void decode(ChannelHandlerContext ctx, Object bytes) throws Exception {
             super.channelRead(ctx, bytes);
         }
 
-        /** Left as it is: {@link Framing} turns such a request away. */
+        /** Leaves the headers unchanged: {@link RequestFramingValidator} rejects such a request. */
         @Override
         protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
         }
 
-        boolean holdsMore() {
+        boolean hasMoreData() {
             return actualReadableBytes() > 0;
         }
     }
 
-    /** Collects bodies; a longer one is answered 413, and what the client still sends is not read. */
-    private static final class Bodies extends HttpObjectAggregator {
-        private final Client client;
+    /** Collects request bodies. A body over {@link #MAX_BODY_BYTES} is answered with 413, and the rest of it is not read. */
+    private static final class BodyAggregator extends HttpObjectAggregator {
+        private final ClientConnection client;
 
-        Bodies(Client client) {
-            super(LONGEST_BODY);
+        BodyAggregator(ClientConnection client) {
+            super(MAX_BODY_BYTES);
             this.client = client;
         }
 
         @Override
         protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
-            client.last(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body over 64 KiB");
+            client.answerAndClose(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body over 64 KiB");
         }
     }
 
-    /** One connection of a client. */
-    private final class Client extends SimpleChannelInboundHandler<FullHttpRequest> implements Crowd.Guest {
+    /** A client connection. */
+    private final class ClientConnection extends SimpleChannelInboundHandler<FullHttpRequest>
+            implements ClientConnections.Connection {
         private final Channel channel;
-        private final Requests requests = new Requests(this);
-        private final Crowd.Seat seat = new Crowd.Seat(this);
-        /** A first byte has come of the request that is awaited. */
-        private boolean begun;
-        /** It has handed in a message. */
-        private boolean customer;
-        /** Reads that were not looked at yet: there may be a whole request in them. */
+        private final RequestDecoder decoder = new RequestDecoder(this);
+        private final ClientConnections.Entry entry = new ClientConnections.Entry(this);
+        /** Whether the first byte of the next request has been received. */
+        private boolean requestStarted;
+        /** Whether a valid submission was received on this connection. */
+        private boolean hasSubmitted;
+        /** The number of reads that are not decoded yet; they may contain a complete request. */
         private int unread;
-        /** FOLLOWING: what it waits for. */
-        private AnswerPolling.Poll asked;
+        /** The current poll; null unless the state is POLLING. */
+        private AnswerPolling.Poll poll;
 
-        Client(Channel channel) {
+        ClientConnection(Channel channel) {
             this.channel = channel;
         }
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            crowd.came(seat);
+            connections.add(entry);
         }
 
         @Override
@@ -375,47 +382,47 @@
         }
 
         @Override
-        public void makeRoom() {
+        public void evict() {
             channel.close();
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            crowd.left(seat);
-            if (asked != null) {
-                asked.cancel();
-                asked = null;
+            connections.remove(entry);
+            if (poll != null) {
+                poll.cancel();
+                poll = null;
             }
         }
 
-        /** Bytes have come: the time of a request runs from its first, and it is not to make room for others. */
-        private void begun() {
-            begun = true;
-            if (seat.state() == Crowd.State.IDLE || seat.state() == Crowd.State.VISITING) {
-                enter(Crowd.State.ASKING);
+        /** Data was received: it starts the time limit of the request, and the connection is not idle any more. */
+        private void dataReceived() {
+            requestStarted = true;
+            if (entry.state() == ClientConnections.State.IDLE || entry.state() == ClientConnections.State.IDLE_LOW_PRIORITY) {
+                setState(ClientConnections.State.RECEIVING);
             }
         }
 
-        private void enter(Crowd.State next) {
-            crowd.enter(seat, next);
+        private void setState(ClientConnections.State next) {
+            connections.setState(entry, next);
         }
 
         @Override
-        public void outOfTime() {
+        public void timedOut() {
             if (unread > 0) {
-                // The sender is late, not the client.
+                // The sender is late, not the client: the request may have been received completely.
                 return;
             }
-            if (begun && seat.state() != Crowd.State.ENDING) {
-                last(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not come in time");
+            if (requestStarted && entry.state() != ClientConnections.State.CLOSING) {
+                answerAndClose(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not come in time");
             } else {
                 channel.close();
             }
         }
 
-        /** Answers what was not read to its end, and closes a little later. */
-        private void last(HttpResponseStatus status, String text) {
-            enter(Crowd.State.ENDING);
+        /** Answers a request that was not read completely. The connection is closed after a short delay. */
+        private void answerAndClose(HttpResponseStatus status, String text) {
+            setState(ClientConnections.State.CLOSING);
             channel.config().setAutoRead(false);
             FullHttpResponse answer = answer(status, text);
             answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
@@ -424,109 +431,110 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            if (awaited(this, "")) {
-                // Answers go out in the order of a connection's requests.
-                settle();
+            if (awaitsJournal(this, "")) {
+                // Answers must have the order of the requests on the connection.
+                answerAccepted();
             }
-            if (seat.state() == Crowd.State.ENDING) {
-                // What lies behind the last request may have been hidden in its body.
+            if (entry.state() == ClientConnections.State.CLOSING) {
+                // Data that follows the last request may be part of its body.
                 return;
             }
-            begun = requests.holdsMore();
-            enter(begun ? Crowd.State.ASKING : customer ? Crowd.State.IDLE : Crowd.State.VISITING);
+            requestStarted = decoder.hasMoreData();
+            setState(requestStarted ? ClientConnections.State.RECEIVING
+                    : hasSubmitted ? ClientConnections.State.IDLE : ClientConnections.State.IDLE_LOW_PRIORITY);
             String path = request.uri().split("\\?", 2)[0];
             if (request.decoderResult().isFailure()) {
-                last(HttpResponseStatus.BAD_REQUEST, "not HTTP");
+                answerAndClose(HttpResponseStatus.BAD_REQUEST, "not HTTP");
             } else if (path.equals("/healthz")) {
-                FullHttpResponse health = answer(desk.ready() ? HttpResponseStatus.OK
+                FullHttpResponse health = answer(intake.ready() ? HttpResponseStatus.OK
                         : HttpResponseStatus.SERVICE_UNAVAILABLE, "");
-                if (hints.reconnectMs() >= 0) {
-                    health.headers().set("X-Reconnect-Within-Ms", hints.reconnectMs());
+                if (extensions.reconnectMs() >= 0) {
+                    health.headers().set("X-Reconnect-Within-Ms", extensions.reconnectMs());
                 }
-                end(request, health);
-            } else if (path.equals("/ends") && hints.follow().isPresent()) {
-                follow(request, hints.follow().get());
-            } else if (!desk.knowsClass(path.split("/", 3).length > 1 ? path.split("/", 3)[1] : "")) {
-                end(request, HttpResponseStatus.NOT_FOUND, "no such path");
+                send(request, health);
+            } else if (path.equals("/ends") && extensions.polling().isPresent()) {
+                poll(request, extensions.polling().get());
+            } else if (!intake.knowsClass(path.split("/", 3).length > 1 ? path.split("/", 3)[1] : "")) {
+                send(request, HttpResponseStatus.NOT_FOUND, "no such path");
             } else if (!request.method().equals(HttpMethod.POST)) {
-                end(request, HttpResponseStatus.METHOD_NOT_ALLOWED, "messages are handed in by POST");
+                send(request, HttpResponseStatus.METHOD_NOT_ALLOWED, "messages are handed in by POST");
             } else {
-                handIn(request, path);
+                submit(request, path);
             }
         }
 
-        private void handIn(FullHttpRequest request, String path) {
+        private void submit(FullHttpRequest request, String path) {
             MessageIntake.Submission submission;
             try {
-                submission = reading.read(request, path.split("/", 3)[1]);
+                submission = parser.parse(request, path.split("/", 3)[1]);
             } catch (BadInput bad) {
-                end(request, HttpResponseStatus.BAD_REQUEST, bad.getMessage());
+                send(request, HttpResponseStatus.BAD_REQUEST, bad.getMessage());
                 return;
             }
-            // What is said of an id must be true of the journal.
+            // The answer about an id must reflect the journal, so a pending write of the same id comes first.
             String id = submission.id();
-            if (awaited(this, id)) {
-                settle();
+            if (awaitsJournal(this, id)) {
+                answerAccepted();
             }
-            Optional<MessageIntake.DuplicateState> before = Optional.empty();
-            for (AnswerRecipient claim : submission.recipients()) {
-                before = desk.checkDuplicate(id, claim);
+            Optional<MessageIntake.DuplicateState> duplicate = Optional.empty();
+            for (AnswerRecipient recipient : submission.recipients()) {
+                duplicate = intake.checkDuplicate(id, recipient);
             }
-            if (before.isPresent()) {
-                end(request, before.get() == MessageIntake.DuplicateState.UNDELIVERED ? HttpResponseStatus.CONFLICT
+            if (duplicate.isPresent()) {
+                send(request, duplicate.get() == MessageIntake.DuplicateState.UNDELIVERED ? HttpResponseStatus.CONFLICT
                         : HttpResponseStatus.ACCEPTED, "");
                 return;
             }
-            if (!desk.knowsDestination(submission.destination())) {
-                end(request, HttpResponseStatus.SERVICE_UNAVAILABLE, "no list names this dest");
+            if (!intake.knowsDestination(submission.destination())) {
+                send(request, HttpResponseStatus.SERVICE_UNAVAILABLE, "no list names this dest");
                 return;
             }
-            customer = true;
-            if (seat.state() == Crowd.State.VISITING) {
-                enter(Crowd.State.IDLE);
+            hasSubmitted = true;
+            if (entry.state() == ClientConnections.State.IDLE_LOW_PRIORITY) {
+                setState(ClientConnections.State.IDLE);
             }
-            MessageIntake.SubmissionResult taking = desk.submit(submission);
-            if (taking.message().isPresent()) {
-                taken.add(new Taken(this, taking.message().get(), HttpUtil.isKeepAlive(request)));
+            MessageIntake.SubmissionResult result = intake.submit(submission);
+            if (result.message().isPresent()) {
+                accepted.add(new AcceptedMessage(this, result.message().get(), HttpUtil.isKeepAlive(request)));
             } else {
-                FullHttpResponse refusal = answer(HttpResponseStatus.SERVICE_UNAVAILABLE, taking.reason());
-                if (taking.waitMs() > 0) {
-                    refusal.headers().set(HttpHeaderNames.RETRY_AFTER, seconds(taking.waitMs()));
-                    if (hints.waitScope()) {
-                        refusal.headers().set("X-Wait-Scope", taking.destination() ? "destination" : "sender");
+                FullHttpResponse refusal = answer(HttpResponseStatus.SERVICE_UNAVAILABLE, result.reason());
+                if (result.waitMs() > 0) {
+                    refusal.headers().set(HttpHeaderNames.RETRY_AFTER, seconds(result.waitMs()));
+                    if (extensions.waitScope()) {
+                        refusal.headers().set("X-Wait-Scope", result.destination() ? "destination" : "sender");
                     }
                 }
-                end(request, refusal);
+                send(request, refusal);
             }
         }
 
-        /** A long poll for ends: answered when there is one, when its time is over, or when the sender ends. */
-        private void follow(FullHttpRequest request, AnswerPolling ends) {
+        /** A long poll for final answers: answered when there is one, when its wait is over, or when the sender shuts down. */
+        private void poll(FullHttpRequest request, AnswerPolling polling) {
             QueryStringDecoder query = new QueryStringDecoder(request.uri());
             String peer = parameter(query, "client");
             if (peer.isEmpty() || !parameter(query, "wait_ms").matches("[0-9]{0,6}")) {
-                end(request, HttpResponseStatus.BAD_REQUEST, "/ends?client=NAME&after=CURSOR&wait_ms=N");
+                send(request, HttpResponseStatus.BAD_REQUEST, "/ends?client=NAME&after=CURSOR&wait_ms=N");
                 return;
             }
-            if (crowd.in(Crowd.State.FOLLOWING) >= Math.max(1, mostClients / FOLLOWERS)) {
-                end(request, HttpResponseStatus.SERVICE_UNAVAILABLE, "too many follow");
+            if (connections.count(ClientConnections.State.POLLING) >= Math.max(1, maxClients / CONNECTIONS_PER_POLL)) {
+                send(request, HttpResponseStatus.SERVICE_UNAVAILABLE, "too many follow");
                 return;
             }
             boolean keepAlive = HttpUtil.isKeepAlive(request);
-            enter(Crowd.State.FOLLOWING);
-            // Read no further: its next request comes after this one's answer.
+            setState(ClientConnections.State.POLLING);
+            // Stop reading: the next request is processed after the answer to this one.
             channel.config().setAutoRead(false);
             String waitMs = parameter(query, "wait_ms");
-            asked = ends.poll(peer, parameter(query, "after"), waitMs.isEmpty() ? 0 : Long.parseLong(waitMs), lines -> {
-                asked = null;
-                enter(Crowd.State.IDLE);
+            poll = polling.poll(peer, parameter(query, "after"), waitMs.isEmpty() ? 0 : Long.parseLong(waitMs), lines -> {
+                poll = null;
+                setState(ClientConnections.State.IDLE);
                 channel.config().setAutoRead(true);
-                FullHttpResponse told = answer(HttpResponseStatus.OK, lines);
-                told.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/x-ndjson");
-                end(keepAlive, told);
+                FullHttpResponse answer = answer(HttpResponseStatus.OK, lines);
+                answer.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/x-ndjson");
+                send(keepAlive, answer);
             });
-            if (seat.state() != Crowd.State.FOLLOWING) {
-                asked = null;
+            if (entry.state() != ClientConnections.State.POLLING) {
+                poll = null;
             }
         }
 
@@ -534,27 +542,28 @@
             return query.parameters().getOrDefault(name, List.of("")).get(0);
         }
 
-        private ChannelFuture end(FullHttpRequest request, HttpResponseStatus status, String text) {
-            return end(request, answer(status, request.method().equals(HttpMethod.HEAD) ? "" : text));
+        private ChannelFuture send(FullHttpRequest request, HttpResponseStatus status, String text) {
+            return send(request, answer(status, request.method().equals(HttpMethod.HEAD) ? "" : text));
         }
 
-        private ChannelFuture end(FullHttpRequest request, FullHttpResponse answer) {
-            return end(HttpUtil.isKeepAlive(request), answer);
+        private ChannelFuture send(FullHttpRequest request, FullHttpResponse answer) {
+            return send(HttpUtil.isKeepAlive(request), answer);
         }
 
-        private ChannelFuture end(boolean keepAlive, FullHttpResponse answer) {
+        private ChannelFuture send(boolean keepAlive, FullHttpResponse answer) {
             if (!closing && keepAlive) {
                 return channel.writeAndFlush(answer);
             }
-            enter(Crowd.State.ENDING);
+            setState(ClientConnections.State.CLOSING);
             answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             return channel.writeAndFlush(answer).addListener(ChannelFutureListener.CLOSE);
         }
 
-        /** A client that does not read its answers is not read either. */
+        /** Stops reading from a client that does not read its answers. */
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-            channel.config().setAutoRead(channel.isWritable() && seat.state() != Crowd.State.ENDING && seat.state() != Crowd.State.FOLLOWING);
+            channel.config().setAutoRead(channel.isWritable() && entry.state() != ClientConnections.State.CLOSING
+                    && entry.state() != ClientConnections.State.POLLING);
         }
 
         @Override
@@ -566,7 +575,7 @@
         }
     }
 
-    /** Seconds with three decimals, as {@code Retry-After} has them here. */
+    /** Formats milliseconds as seconds with three decimals, for {@code Retry-After}. */
     private static String seconds(long ms) {
         return ms / 1000 + "." + Long.toString(1000 + ms % 1000).substring(1);
     }
--- a/src/main/java/slipfield/front/http/Framing.java
+++ b/src/main/java/slipfield/front/http/RequestFramingValidator.java
@@ -11,20 +11,21 @@
 import slipfield.config.BadInput;
 
 /**
- * Turns away a request whose length can be read in two ways, or in none: what one reader takes for its
- * body may be another request to the next reader.
+ * Rejects requests with ambiguous framing: several transfer codings, a coding other than {@code chunked}, a transfer coding in a
+ * version other than HTTP/1.1, or one together with a {@code Content-Length}. A proxy and this server could disagree on where the
+ * body of such a request ends, and the rest of it could then be processed as another request (request smuggling).
  */
-final class Framing extends ChannelInboundHandlerAdapter {
+final class RequestFramingValidator extends ChannelInboundHandlerAdapter {
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object part) {
         if (part instanceof HttpRequest request) {
             List<String> codings = request.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
-            boolean plain = codings.isEmpty() || codings.size() == 1
+            boolean unambiguous = codings.isEmpty() || codings.size() == 1
                     && codings.get(0).equalsIgnoreCase(HttpHeaderValues.CHUNKED.toString())
                     && request.protocolVersion().equals(HttpVersion.HTTP_1_1)
                     && !request.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
-            if (!plain && request.decoderResult().isSuccess()) {
-                request.setDecoderResult(DecoderResult.failure(new BadInput("the length is not clear")));
+            if (!unambiguous && request.decoderResult().isSuccess()) {
+                request.setDecoderResult(DecoderResult.failure(new BadInput("the length of the request body is ambiguous")));
             }
         }
         ctx.fireChannelRead(part);
--- a/src/main/java/slipfield/front/http/package-info.java
+++ b/src/main/java/slipfield/front/http/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The front by which clients hand messages in over HTTP/1.1. May use {@code core} and what that uses, and {@code socket}.
+ * The frontend through which clients submit messages over HTTP/1.1. It may use {@code core} and its dependencies, and
+ * {@code socket}.
  */
 package slipfield.front.http;
--- a/src/test/java/slipfield/front/http/HttpFrontendTest.java
+++ b/src/test/java/slipfield/front/http/HttpFrontendTest.java
@@ -27,9 +27,9 @@
 import slipfield.journal.PendingMessage;
 import slipfield.standin.Stub;
 
-/** The bound on clients' connections, apart from the sender. */
+/** The HTTP frontend without a sender: the limit on client connections, and the order of journal writes and answers. */
 class HttpFrontendTest {
-    private static final int MOST = 10;
+    private static final int MAX_CLIENTS = 10;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final List<Socket> sockets = new ArrayList<>();
@@ -42,8 +42,8 @@
         }
     }
 
-    /** A desk that is ready and knows nothing. */
-    private static class NoDesk implements MessageIntake {
+    /** Is ready, but knows no class, tenant or destination. */
+    private static class EmptyIntake implements MessageIntake {
         @Override
         public boolean ready() {
             return true;
@@ -70,7 +70,7 @@
         }
 
         @Override
-        public Optional<DuplicateState> checkDuplicate(String id, AnswerRecipient claim) {
+        public Optional<DuplicateState> checkDuplicate(String id, AnswerRecipient recipient) {
             return Optional.empty();
         }
 
@@ -89,13 +89,13 @@
         }
 
         @Override
-        public void acceptanceReported(PendingMessage held, boolean heard) {
+        public void acceptanceReported(PendingMessage message, boolean received) {
         }
     }
 
-    /** A desk that knows all, has room for nothing, and notes what it was asked to take. */
-    private static class NotingDesk extends NoDesk {
-        private final List<String> asked = new CopyOnWriteArrayList<>();
+    /** Knows every class, tenant and destination, refuses all messages and records their ids. */
+    private static class RecordingIntake extends EmptyIntake {
+        private final List<String> submittedIds = new CopyOnWriteArrayList<>();
 
         @Override
         public boolean ready() {
@@ -119,7 +119,7 @@
 
         @Override
         public SubmissionResult submit(Submission submission) {
-            asked.add(submission.id());
+            submittedIds.add(submission.id());
             return super.submit(submission);
         }
     }
@@ -129,15 +129,16 @@
                 + "X-Envelope: dest=7\r\nContent-Length: 2\r\n\r\nhi");
     }
 
-    /** Found on a reload day: short of CPU, most requests that were read had no client any more. */
+    /** Found on a reload day: short of CPU, the sender mostly processed requests of clients that had already disconnected. */
     @Test
-    void aClientThatLeftBeforeItsRequestWasReadIsNotTakenOn() throws Exception {
+    void requestsOfDisconnectedClientsAreDropped() throws Exception {
         EventLoop loop = group.next();
-        NotingDesk desk = new NotingDesk();
-        HttpFrontend intake = new HttpFrontend(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MOST, desk);
-        InetSocketAddress address = intake.listen();
+        RecordingIntake intake = new RecordingIntake();
+        HttpFrontend frontend = new HttpFrontend(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MAX_CLIENTS,
+                intake);
+        InetSocketAddress address = frontend.listen();
         CountDownLatch written = new CountDownLatch(1);
-        keepBusy(loop, written);
+        blockLoop(loop, written);
         for (int i = 0; i < 5; i++) {
             sockets.add(new Socket(address.getAddress(), address.getPort()));
             submit(sockets.get(i), "id-" + i);
@@ -148,21 +149,22 @@
         written.countDown();
         Stub.Message answer = Stub.read(new BufferedInputStream(sockets.get(4).getInputStream()), 0);
         assertEquals("HTTP/1.1 503 Service Unavailable", answer.line());
-        assertEquals(List.of("id-4"), desk.asked);
+        assertEquals(List.of("id-4"), intake.submittedIds);
     }
 
-    /** Found on reload days: at a sender's orderly end those who had connected to a late loop were reset. */
+    /** Found on reload days: an orderly shutdown reset connections that a late event loop had not accepted yet. */
     @Test
     void whoHasConnectedBeforeTheListenerClosesIsAnswered() throws Exception {
         EventLoop loop = group.next();
-        NotingDesk desk = new NotingDesk();
-        HttpFrontend intake = new HttpFrontend(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MOST, desk);
-        InetSocketAddress address = intake.listen();
+        RecordingIntake intake = new RecordingIntake();
+        HttpFrontend frontend = new HttpFrontend(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MAX_CLIENTS,
+                intake);
+        InetSocketAddress address = frontend.listen();
         CountDownLatch written = new CountDownLatch(1);
         loop.execute(() -> {
             try {
                 written.await();
-                intake.close();
+                frontend.close();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -176,96 +178,99 @@
             Stub.Message answer = Stub.read(new BufferedInputStream(socket.getInputStream()), 0);
             assertEquals("HTTP/1.1 503 Service Unavailable", answer.line());
         }
-        assertEquals(5, desk.asked.size());
+        assertEquals(5, intake.submittedIds.size());
         assertThrows(ConnectException.class, () -> new Socket(address.getAddress(), address.getPort()));
     }
 
-    /** Takes all, and notes when the journal was written; {@code works}: whether it could be. */
-    private static class TakingDesk extends NotingDesk {
-        private final boolean works;
+    /** Accepts all messages and records the steps. {@code writable} tells whether the journal can be written. */
+    private static class AcceptingIntake extends RecordingIntake {
+        private final boolean writable;
         private final List<String> steps = new CopyOnWriteArrayList<>();
 
-        TakingDesk(boolean works) {
-            this.works = works;
+        AcceptingIntake(boolean writable) {
+            this.writable = writable;
         }
 
         @Override
         public SubmissionResult submit(Submission s) {
-            steps.add("taken");
-            return SubmissionResult.accepted(new PendingMessage(steps.size(), s.id(), s.messageClass(), "", s.key(), 7, 0, s.body()));
+            steps.add("accepted");
+            return SubmissionResult.accepted(
+                    new PendingMessage(steps.size(), s.id(), s.messageClass(), "", s.key(), 7, 0, s.body()));
         }
 
         @Override
         public boolean writeAccepted() {
             steps.add("written");
-            return works;
+            return writable;
         }
 
         @Override
-        public void acceptanceReported(PendingMessage held, boolean heard) {
-            steps.add(heard ? "told" : "not told");
+        public void acceptanceReported(PendingMessage message, boolean received) {
+            steps.add(received ? "reported" : "not reported");
         }
     }
 
-    private List<String> handInAtOnce(TakingDesk desk, String line) throws Exception {
-        return handInAtOnce(desk, line, "id-0", "id-1", "id-2");
+    private List<String> submitTogether(AcceptingIntake intake, String statusLine) throws Exception {
+        return submitTogether(intake, statusLine, "id-0", "id-1", "id-2");
     }
 
-    private List<String> handInAtOnce(TakingDesk desk, String line, String... ids) throws Exception {
+    private List<String> submitTogether(AcceptingIntake intake, String statusLine, String... ids) throws Exception {
         EventLoop loop = group.next();
-        HttpFrontend intake = new HttpFrontend(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MOST, desk);
-        InetSocketAddress address = intake.listen();
+        HttpFrontend frontend = new HttpFrontend(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MAX_CLIENTS,
+                intake);
+        InetSocketAddress address = frontend.listen();
         for (int i = 0; i < 3; i++) {
             sockets.add(new Socket(address.getAddress(), address.getPort()));
         }
-        Stub.await("all are accepted", () -> loop.submit(intake::openConnections).syncUninterruptibly().getNow() == 3);
+        Stub.await("all are accepted", () -> loop.submit(frontend::openConnections).syncUninterruptibly().getNow() == 3);
         CountDownLatch written = new CountDownLatch(1);
-        keepBusy(loop, written);
+        blockLoop(loop, written);
         for (int i = 0; i < 3; i++) {
             submit(sockets.get(i), ids[i]);
         }
         written.countDown();
         for (Socket socket : sockets) {
-            assertEquals(line, Stub.read(new BufferedInputStream(socket.getInputStream()), 0).line());
+            assertEquals(statusLine, Stub.read(new BufferedInputStream(socket.getInputStream()), 0).line());
         }
-        // The loop goes on behind the answer that was read last.
+        // The event loop may still be working after the last answer was read.
         loop.submit(() -> { }).syncUninterruptibly();
-        return List.copyOf(desk.steps);
+        return List.copyOf(intake.steps);
     }
 
     @Test
-    void whatComesTogetherIsWrittenTogetherAndToldAfterThat() throws Exception {
-        assertEquals(List.of("taken", "taken", "taken", "written", "told", "told", "told"),
-                handInAtOnce(new TakingDesk(true), "HTTP/1.1 202 Accepted"));
+    void messagesOfOneIterationAreWrittenTogetherBeforeTheyAreAnswered() throws Exception {
+        assertEquals(List.of("accepted", "accepted", "accepted", "written", "reported", "reported", "reported"),
+                submitTogether(new AcceptingIntake(true), "HTTP/1.1 202 Accepted"));
     }
 
     @Test
-    void whatCannotBeWrittenIsRefused() throws Exception {
-        assertEquals(List.of("taken", "taken", "taken", "written", "not told", "not told", "not told"),
-                handInAtOnce(new TakingDesk(false), "HTTP/1.1 503 Service Unavailable"));
+    void messagesThatCannotBeWrittenAreRefused() throws Exception {
+        assertEquals(List.of("accepted", "accepted", "accepted", "written", "not reported", "not reported", "not reported"),
+                submitTogether(new AcceptingIntake(false), "HTTP/1.1 503 Service Unavailable"));
     }
 
-    /** Else the second would be told that it is held, though the first could not be written. */
+    /** Otherwise the second submission of an id could be answered as pending although the first one could not be written. */
     @Test
-    void whatIsKnownOfAnIdIsAskedWhenItsFirstOneIsWritten() throws Exception {
-        TakingDesk desk = new TakingDesk(false) {
+    void duplicatesAreCheckedAfterThePendingWriteOfTheSameId() throws Exception {
+        AcceptingIntake intake = new AcceptingIntake(false) {
             @Override
-            public Optional<DuplicateState> checkDuplicate(String id, AnswerRecipient claim) {
-                super.steps.add("asked");
+            public Optional<DuplicateState> checkDuplicate(String id, AnswerRecipient recipient) {
+                super.steps.add("checked");
                 return Optional.empty();
             }
         };
-        assertEquals(List.of("asked", "taken", "written", "not told", "asked", "taken", "written", "not told", "asked",
-                "taken", "written", "not told"),
-                handInAtOnce(desk, "HTTP/1.1 503 Service Unavailable", "same", "same", "same"));
+        assertEquals(List.of("checked", "accepted", "written", "not reported", "checked", "accepted", "written", "not reported",
+                "checked", "accepted", "written", "not reported"),
+                submitTogether(intake, "HTTP/1.1 503 Service Unavailable", "same", "same", "same"));
     }
 
     @Test
-    void answersKeepTheOrderOfAConnectionsRequests() throws Exception {
+    void answersKeepTheOrderOfTheRequestsOnAConnection() throws Exception {
         EventLoop loop = group.next();
-        TakingDesk desk = new TakingDesk(true);
-        HttpFrontend intake = new HttpFrontend(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MOST, desk);
-        InetSocketAddress address = intake.listen();
+        AcceptingIntake intake = new AcceptingIntake(true);
+        HttpFrontend frontend = new HttpFrontend(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MAX_CLIENTS,
+                intake);
+        InetSocketAddress address = frontend.listen();
         Socket socket = new Socket(address.getAddress(), address.getPort());
         sockets.add(socket);
         Stub.write(socket, "POST /order HTTP/1.1\r\nHost: x\r\nX-Call-Id: a\r\nX-Budget-Ms: 9000\r\n"
@@ -275,8 +280,8 @@
         assertEquals("HTTP/1.1 200 OK", Stub.read(in, 0).line());
     }
 
-    /** Returns when the loop is busy, so that what comes from here on is read in one round. */
-    private static void keepBusy(EventLoop loop, CountDownLatch until) throws InterruptedException {
+    /** Blocks the event loop until the latch is released, so that all data that arrives meanwhile is read in one iteration. */
+    private static void blockLoop(EventLoop loop, CountDownLatch until) throws InterruptedException {
         CountDownLatch busy = new CountDownLatch(1);
         loop.execute(() -> {
             try {
@@ -289,14 +294,15 @@
         busy.await();
     }
 
-    /** Found in incident r0b62c9: hundreds that connected in one turn all made room by the same one. */
+    /** Incident r0b62c9: hundreds of connections in one event-loop iteration all selected the same connection for eviction. */
     @Test
-    void aCrowdThatConnectsAtOnceStaysWithinTheBound() throws Exception {
+    void manySimultaneousConnectionsStayWithinTheLimit() throws Exception {
         EventLoop loop = group.next();
-        HttpFrontend intake = new HttpFrontend(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MOST, new NoDesk());
-        InetSocketAddress address = intake.listen();
+        HttpFrontend frontend = new HttpFrontend(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MAX_CLIENTS,
+                new EmptyIntake());
+        InetSocketAddress address = frontend.listen();
         CountDownLatch connected = new CountDownLatch(1);
-        keepBusy(loop, connected);
+        blockLoop(loop, connected);
         for (int i = 0; i < 200; i++) {
             sockets.add(new Socket(address.getAddress(), address.getPort()));
         }
@@ -304,54 +310,56 @@
         Socket last = sockets.get(199);
         Stub.write(last, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
         assertEquals("HTTP/1.1 200 OK", Stub.read(new BufferedInputStream(last.getInputStream()), 0).line());
-        int clients = loop.submit(intake::openConnections).get();
-        assertTrue(clients <= MOST, "connections: " + clients);
+        int clients = loop.submit(frontend::openConnections).get();
+        assertTrue(clients <= MAX_CLIENTS, "connections: " + clients);
     }
 
     /**
-     * Found in incident r0b62c9: while one sender was away, hundreds a second that only asked for health pushed
-     * out the connections of those who hand in messages.
+     * Incident r0b62c9: while one sender was unavailable, hundreds of health checks per second evicted the connections of clients
+     * that submit messages.
      */
     @Test
-    void visitorsMakeRoomBeforeThoseWhoHandInMessages() throws Exception {
-        NotingDesk desk = new NotingDesk();
-        HttpFrontend intake = new HttpFrontend(group.next(), new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MOST, desk);
-        InetSocketAddress address = intake.listen();
-        Socket customer = new Socket(address.getAddress(), address.getPort());
-        sockets.add(customer);
-        submit(customer, "first");
-        BufferedInputStream in = new BufferedInputStream(customer.getInputStream());
+    void connectionsForHealthChecksAreEvictedBeforeThoseOfSubmitters() throws Exception {
+        RecordingIntake intake = new RecordingIntake();
+        HttpFrontend frontend = new HttpFrontend(group.next(), new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                MAX_CLIENTS, intake);
+        InetSocketAddress address = frontend.listen();
+        Socket submitter = new Socket(address.getAddress(), address.getPort());
+        sockets.add(submitter);
+        submit(submitter, "first");
+        BufferedInputStream in = new BufferedInputStream(submitter.getInputStream());
         assertEquals("HTTP/1.1 503 Service Unavailable", Stub.read(in, 0).line());
-        for (int i = 0; i < 5 * MOST; i++) {
-            Socket visitor = new Socket(address.getAddress(), address.getPort());
-            sockets.add(visitor);
-            Stub.write(visitor, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
-            assertEquals("HTTP/1.1 200 OK", Stub.read(new BufferedInputStream(visitor.getInputStream()), 0).line());
+        for (int i = 0; i < 5 * MAX_CLIENTS; i++) {
+            Socket healthCheck = new Socket(address.getAddress(), address.getPort());
+            sockets.add(healthCheck);
+            Stub.write(healthCheck, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
+            assertEquals("HTTP/1.1 200 OK", Stub.read(new BufferedInputStream(healthCheck.getInputStream()), 0).line());
         }
-        submit(customer, "second");
+        submit(submitter, "second");
         assertEquals("HTTP/1.1 503 Service Unavailable", Stub.read(in, 0).line());
-        assertEquals(List.of("first", "second"), desk.asked);
+        assertEquals(List.of("first", "second"), intake.submittedIds);
     }
 
-    /** Found in incident r0b62c9: with all connections kept by those who ask once, nobody could hand in more. */
+    /** Incident r0b62c9: clients that sent one request and kept their connection left no connections for other submissions. */
     @Test
-    void ofThoseThatAskOnceTheLongestIdleIsClosed() throws Exception {
+    void theLongestIdleConnectionIsClosedWhenTooManyAreIdle() throws Exception {
         EventLoop loop = group.next();
-        NotingDesk desk = new NotingDesk();
-        HttpFrontend intake = new HttpFrontend(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MOST, desk);
-        InetSocketAddress address = intake.listen();
-        for (int i = 0; i < 3 * MOST; i++) {
-            Socket once = new Socket(address.getAddress(), address.getPort());
-            sockets.add(once);
-            submit(once, "id-" + i);
+        RecordingIntake intake = new RecordingIntake();
+        HttpFrontend frontend = new HttpFrontend(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MAX_CLIENTS,
+                intake);
+        InetSocketAddress address = frontend.listen();
+        for (int i = 0; i < 3 * MAX_CLIENTS; i++) {
+            Socket client = new Socket(address.getAddress(), address.getPort());
+            sockets.add(client);
+            submit(client, "id-" + i);
             assertEquals("HTTP/1.1 503 Service Unavailable",
-                    Stub.read(new BufferedInputStream(once.getInputStream()), 0).line());
+                    Stub.read(new BufferedInputStream(client.getInputStream()), 0).line());
         }
-        assertEquals(-1, sockets.get(0).getInputStream().read(), "the first stood longest");
-        int clients = loop.submit(intake::openConnections).get();
-        assertTrue(clients <= MOST / 2, "connections: " + clients);
-        submit(sockets.get(3 * MOST - 1), "again");
+        assertEquals(-1, sockets.get(0).getInputStream().read(), "the first one has been idle longest");
+        int clients = loop.submit(frontend::openConnections).get();
+        assertTrue(clients <= MAX_CLIENTS / 2, "connections: " + clients);
+        submit(sockets.get(3 * MAX_CLIENTS - 1), "again");
         assertEquals("HTTP/1.1 503 Service Unavailable",
-                Stub.read(new BufferedInputStream(sockets.get(3 * MOST - 1).getInputStream()), 0).line());
+                Stub.read(new BufferedInputStream(sockets.get(3 * MAX_CLIENTS - 1).getInputStream()), 0).line());
     }
 }
