--- a/src/main/java/slipfield/transport/http/HttpTransport.java
+++ b/src/main/java/slipfield/transport/http/HttpTransport.java
@@ -54,137 +54,145 @@
 import slipfield.trace.Trace;
 
 /**
- * Calls to endpoints and the connections that they go over: one call each, kept for the next, the newest
- * idle one first. Each call gets one end, never during the call of {@link #call} or {@link #cancel}.
+ * Makes attempts over HTTP/1.1 and pools the connections to endpoints. A connection carries one call at a time and is kept for
+ * the next one; the connection that became idle last is reused first. The end of each call is reported exactly once, never from
+ * within {@link #attempt} or {@link Attempt#cancel}.
  */
 public final class HttpTransport implements Transport {
-    /** Idle connections are dropped at this share of the time after which an endpoint drops them. */
+    /** Idle connections are closed after this share of the time after which an endpoint closes them. */
     private static final double IDLE_SHARE = 0.8;
     private static final long SWEEP_MS = 500;
-    /** An answer's body means nothing, and the protocol ends it here. */
-    private static final int LONGEST_ANSWER = 64 * 1024;
-    /** From an answer's first byte to its last: one that takes longer is held to be spoilt. */
-    private static final long ANSWER_MS = 1000;
-    /** A connection rests for so long before its next call, lest what comes behind an answer be taken for one. */
-    private static final long REST_MS = 10;
-    private static final String TOLD_RATE = Params.REPORTED_RATE + "=";
-    private static final String TOLD_LEFT = Params.REPORTED_REMAINING + "=";
-    /** Between the figures of a report. */
-    private static final Pattern FIGURES = Pattern.compile("[,\\s]+");
-    /** Longest wait that is believed: no message is held for so long. */
-    private static final double LONGEST_WAIT_MS = 60_000;
-
-    /** Names are ours; values are checked, since clients wrote some of them. */
+    /** The protocol's limit on the body of an answer. Its content is ignored. */
+    private static final int MAX_BODY_BYTES = 64 * 1024;
+    /** Time limit from the first to the last byte of an answer; an answer that takes longer is treated as invalid. */
+    private static final long ANSWER_TIMEOUT_MS = 1000;
+    /** Delay before a connection is reused: data that arrives after an answer could be read as the next call's answer. */
+    private static final long REUSE_DELAY_MS = 10;
+    private static final String RATE_PREFIX = Params.REPORTED_RATE + "=";
+    private static final String REMAINING_PREFIX = Params.REPORTED_REMAINING + "=";
+    /** Separates the figures of a load report. */
+    private static final Pattern REPORT_SEPARATOR = Pattern.compile("[,\\s]+");
+    /** Limit on the delay that an endpoint requests, in milliseconds; no message is pending for that long. */
+    private static final double MAX_DELAY_MS = 60_000;
+
+    /** Header names are constants and need no validation; values are validated because some of them come from clients. */
     private static final HttpHeadersFactory HEADERS =
             DefaultHttpHeadersFactory.headersFactory().withNameValidation(false);
 
     private final EventLoop loop;
-    private final AttemptListener ends;
+    private final AttemptListener listener;
     private final Bootstrap bootstrap;
     private final long idleNanos;
-    private final int mostIdle;
-    private final Map<Long, Peer> peers = new HashMap<>();
-    private int idle;
-    /** Absent unless the sender is traced. */
+    private final int maxIdle;
+    private final Map<Long, Endpoint> endpoints = new HashMap<>();
+    private int idleCount;
+    /** Null unless the sender is traced. */
     private Trace trace;
 
-    public HttpTransport(EventLoop loop, double dialMs, double keepAliveMs, int mostIdle, AttemptListener ends) {
+    /**
+     * Creates a transport without connections.
+     *
+     * @param connectTimeoutMs the time limit for opening a connection
+     * @param keepAliveMs the time after which endpoints close an idle connection
+     * @param maxIdle the limit on idle connections, for all endpoints together
+     */
+    public HttpTransport(EventLoop loop, double connectTimeoutMs, double keepAliveMs, int maxIdle, AttemptListener listener) {
         this.loop = loop;
-        this.ends = ends;
+        this.listener = listener;
         this.idleNanos = (long) (keepAliveMs * IDLE_SHARE * 1e6);
-        this.mostIdle = mostIdle;
+        this.maxIdle = maxIdle;
         this.bootstrap = new Bootstrap().group(loop).channelFactory(StreamChannel::new)
                 .option(ChannelOption.TCP_NODELAY, true)
-                // A buffer outside the heap for each answer would be allocated and freed by the system each time.
+                // Direct buffers would be allocated and freed by the system for each answer.
                 .option(ChannelOption.ALLOCATOR, new PreferHeapByteBufAllocator(ByteBufAllocator.DEFAULT))
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.ceil(dialMs))
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.ceil(connectTimeoutMs))
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        handle(channel);
+                        addHandlers(channel);
                     }
                 });
     }
 
-    private Connection handle(Channel channel) {
+    private Connection addHandlers(Channel channel) {
         Connection connection = new Connection(channel);
-        channel.pipeline().addLast(new FirstLine(connection), connection.answers, new HttpRequestEncoder(),
+        channel.pipeline().addLast(new StatusLineReader(connection), connection.decoder, new HttpRequestEncoder(),
                 connection);
         return connection;
     }
 
-    /** Closes idle connections in time, from now on. */
+    /** Starts closing connections that have been idle for too long, at regular intervals. */
     @Override
     public void start() {
         loop.scheduleWithFixedDelay(LoggedTask.of("endpoints.sweep", this::sweep), SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** A call of this message, with this answer, on a connection in memory: all but the socket. */
-    public void warmUp(PendingMessage held, byte[] answer) {
-        Peer peer = new Peer();
-        peer.address = InetSocketAddress.createUnresolved("rehearsal", 1);
-        Call call = new Call(held, 0, peer, 1000, System.nanoTime(), Double.POSITIVE_INFINITY);
+    /** Makes a call on an in-memory connection that receives this answer, so that the code on its path is loaded and compiled. */
+    public void warmUp(PendingMessage message, byte[] answer) {
+        Endpoint target = new Endpoint();
+        target.address = InetSocketAddress.createUnresolved("rehearsal", 1);
+        Call call = new Call(message, 0, target, 1000, System.nanoTime(), Double.POSITIVE_INFINITY);
         call.timer = loop.schedule(call::timedOut, 1, TimeUnit.SECONDS);
         EmbeddedChannel memory = new EmbeddedChannel();
-        Connection connection = handle(memory);
-        connection.peer = peer;
-        connection.address = peer.address;
+        Connection connection = addHandlers(memory);
+        connection.target = target;
+        connection.address = target.address;
         call.write(connection);
         memory.writeInbound(Unpooled.wrappedBuffer(answer));
         memory.finishAndReleaseAll();
     }
 
-    /** An endpoint is at this address from now on; connections to another one are of no more use. */
+    /** Sets the address of an endpoint and closes idle connections to its previous address. */
     @Override
     public void updateEndpoint(long endpoint, SocketAddress at, boolean serving) {
         InetSocketAddress address = (InetSocketAddress) at;
-        Peer peer = peers.computeIfAbsent(endpoint, e -> new Peer());
-        if (!serving || !address.equals(peer.address)) {
+        Endpoint target = endpoints.computeIfAbsent(endpoint, e -> new Endpoint());
+        if (!serving || !address.equals(target.address)) {
             closeIdle(endpoint);
         }
-        peer.address = address;
-        peer.serving = serving;
+        target.address = address;
+        target.serving = serving;
     }
 
-    /** Nothing new may go there, be it decided already: a call that waits to be connected is not made. */
+    /** Starts no more calls to an endpoint. A call that still waits for its connection ends without being sent. */
     @Override
     public void stop(long endpoint) {
-        Peer peer = peers.get(endpoint);
-        if (peer != null) {
-            peer.serving = false;
+        Endpoint target = endpoints.get(endpoint);
+        if (target != null) {
+            target.serving = false;
             closeIdle(endpoint);
         }
     }
 
-    /** An endpoint has been gone for long: its connections are closed, those of calls out once they end. */
+    /** Removes an endpoint and closes its connections; one with a call in progress is closed after that call. */
     @Override
     public void forget(long endpoint) {
         closeIdle(endpoint);
-        Peer peer = peers.remove(endpoint);
-        if (peer != null) {
-            peer.address = null;
-            peer.serving = false;
+        Endpoint target = endpoints.remove(endpoint);
+        if (target != null) {
+            target.address = null;
+            target.serving = false;
         }
     }
 
-    /** Endpoints that are known. */
+    /** The number of known endpoints. */
     public int knownEndpoints() {
-        return peers.size();
+        return endpoints.size();
     }
 
     /**
-     * Starts a call; its end is told once, within the time-out or soon after. That counts from when the module
-     * decided: where a turn takes long, a message whose time-out ends with its time would else be ended as late
-     * as the call was made, and its notice come too late.
+     * Starts a call. Its end is reported once, within the time-out or soon after. The time-out counts from the policy's decision,
+     * not from this call: in a long event-loop iteration the two are far apart, and a message whose time-out expires at its
+     * deadline would get its final answer and its notice too late.
      */
     @Override
-    public Attempt attempt(PendingMessage held, int number, long endpoint, AttemptTiming within, long decidedNanos) {
-        double leftMs = Math.max(0, within.timeoutMs() - (System.nanoTime() - decidedNanos) / 1e6);
-        Call call = new Call(held, number, peers.get(endpoint), leftMs, decidedNanos, within.latestWriteMs());
+    public Attempt attempt(PendingMessage message, int number, long endpoint, AttemptTiming timing, long decidedNanos) {
+        double leftMs = Math.max(0, timing.timeoutMs() - (System.nanoTime() - decidedNanos) / 1e6);
+        Call call = new Call(message, number, endpoints.get(endpoint), leftMs, decidedNanos, timing.latestWriteMs());
         call.timer = loop.schedule(call::timedOut, (long) Math.ceil(leftMs * 1000), TimeUnit.MICROSECONDS);
-        Connection kept = call.peer.newestIdle();
-        if (kept != null) {
-            call.write(kept);
+        Connection connection = call.target.newestIdle();
+        if (connection != null) {
+            call.write(connection);
         } else {
             connect(call);
         }
@@ -192,20 +200,20 @@
     }
 
     private void connect(Call call) {
-        InetSocketAddress dialled = call.peer.address;
+        InetSocketAddress connectAddress = call.target.address;
         if (trace != null) {
             trace.enter(Trace.Part.CONNECTS);
         }
-        Connector.connect(bootstrap, loop, dialled, new Connector.Listener() {
+        Connector.connect(bootstrap, loop, connectAddress, new Connector.Listener() {
             @Override
             public void connected(Channel channel) {
-                call.connected(channel, dialled);
+                call.connected(channel, connectAddress);
             }
 
             @Override
             public void failed(Throwable cause) {
-                Log.warn("attempt.connect_failed", "message", call.held.id, "attempt", call.number, "endpoint",
-                        Config.hostPort(dialled), "cause", cause);
+                Log.warn("attempt.connect_failed", "message", call.message.id, "attempt", call.number, "endpoint",
+                        Config.hostPort(connectAddress), "cause", cause);
                 call.end(AttemptOutcome.UNREACHABLE);
             }
         });
@@ -214,34 +222,34 @@
         }
     }
 
-    /** Accounts for connecting and for answers from now on. */
-    public void setTrace(Trace by) {
-        trace = by;
+    /** Records the CPU time of connecting and of reading answers from now on. */
+    public void setTrace(Trace newTrace) {
+        trace = newTrace;
     }
 
     @Override
     public void closeIdle(long endpoint) {
-        Peer peer = peers.get(endpoint);
-        if (peer != null && !peer.idle.isEmpty()) {
-            new ArrayList<>(peer.idle).forEach(Connection::close);
+        Endpoint target = endpoints.get(endpoint);
+        if (target != null && !target.idle.isEmpty()) {
+            new ArrayList<>(target.idle).forEach(Connection::close);
         }
     }
 
-    /** Idle connections that are kept. */
+    /** The number of idle connections. */
     public int idleConnections() {
-        return idle;
+        return idleCount;
     }
 
-    /** Closes what an endpoint would soon close itself: a call that crosses its close would be lost. */
+    /** Closes connections that the endpoint would close soon: a call that is sent just as the endpoint closes would be lost. */
     private void sweep() {
         long now = System.nanoTime();
-        for (Peer peer : peers.values()) {
-            List<Connection> old = peer.idle.stream().filter(c -> now - c.idleSince > idleNanos).toList();
+        for (Endpoint target : endpoints.values()) {
+            List<Connection> old = target.idle.stream().filter(c -> now - c.idleSince > idleNanos).toList();
             old.forEach(Connection::close);
         }
     }
 
-    private final class Peer {
+    private final class Endpoint {
         InetSocketAddress address;
         boolean serving;
         final Deque<Connection> idle = new ArrayDeque<>();
@@ -249,7 +257,7 @@
         Connection newestIdle() {
             while (!idle.isEmpty()) {
                 Connection newest = idle.removeLast();
-                HttpTransport.this.idle--;
+                HttpTransport.this.idleCount--;
                 if (newest.isOpen() && System.nanoTime() - newest.idleSince <= idleNanos) {
                     return newest;
                 }
@@ -259,36 +267,37 @@
         }
     }
 
-    /** One attempt on its way. */
+    /** An attempt in progress. */
     private final class Call implements Attempt {
-        private final PendingMessage held;
+        private final PendingMessage message;
         private final int number;
         private final long startedNanos = System.nanoTime();
-        private final Peer peer;
+        private final Endpoint target;
         private final double timeoutMs;
         private final long decidedNanos;
-        private final double writtenMs;
+        private final double latestWriteMs;
         private Future<?> timer;
         private Connection connection;
-        /** The last byte is out: from here on it may have run. */
-        private boolean flushed;
-        private boolean done;
-        private LimitReport told = LimitReport.NOTHING;
-        /** The wait that its answer's head told: it holds from when it was written, whatever becomes of the rest. */
-        private double toldWaitMs;
-
-        private Call(PendingMessage held, int number, Peer peer, double timeoutMs, long decidedNanos, double writtenMs) {
-            this.held = held;
+        /** Whether the last byte of the request was written; the endpoint may have processed the call from then on. */
+        private boolean requestWritten;
+        private boolean ended;
+        private LimitReport limitReport = LimitReport.NOTHING;
+        /** The delay requested in the header of the answer. It applies even if the rest of the answer is invalid or missing. */
+        private double requestedDelayMs;
+
+        private Call(PendingMessage message, int number, Endpoint target, double timeoutMs, long decidedNanos,
+                double latestWriteMs) {
+            this.message = message;
             this.number = number;
-            this.peer = peer;
+            this.target = target;
             this.timeoutMs = timeoutMs;
             this.decidedNanos = decidedNanos;
-            this.writtenMs = writtenMs;
+            this.latestWriteMs = latestWriteMs;
         }
 
         @Override
         public PendingMessage message() {
-            return held;
+            return message;
         }
 
         @Override
@@ -301,46 +310,52 @@
             return startedNanos;
         }
 
-        /** By closing its connection. What is still being connected has not one byte out: it has surely not run. */
+        /**
+         * Cancels the call by closing its connection. While the connection is still being opened nothing was sent, so the call
+         * certainly did not run.
+         */
         @Override
         public void cancel() {
             end(connection == null ? AttemptOutcome.NOT_SENT : AttemptOutcome.CANCELLED);
             close();
         }
 
-        private void connected(Channel channel, InetSocketAddress dialled) {
-            if (done) {
+        private void connected(Channel channel, InetSocketAddress connectAddress) {
+            if (ended) {
                 channel.close();
-            } else if (!peer.serving || !dialled.equals(peer.address)) {
-                // Connecting took its time, and the list has changed meanwhile: nothing new may go there.
+            } else if (!target.serving || !connectAddress.equals(target.address)) {
+                // The endpoint list changed while the connection was being opened: the endpoint may get no new calls.
                 end(AttemptOutcome.NOT_SENT);
                 channel.close();
             } else {
-                Connection fresh = channel.pipeline().get(Connection.class);
-                fresh.peer = peer;
-                fresh.address = dialled;
-                if (ends.mayBegin(this)) {
-                    write(fresh);
+                Connection newConnection = channel.pipeline().get(Connection.class);
+                newConnection.target = target;
+                newConnection.address = connectAddress;
+                if (listener.mayBegin(this)) {
+                    write(newConnection);
                 } else {
-                    // A wait was told meanwhile. The connection is as good as any for the call after it.
+                    // The endpoint has requested a delay in the meantime. The connection is kept for the next call.
                     end(AttemptOutcome.NOT_SENT);
-                    fresh.rested();
+                    newConnection.makeIdle();
                 }
             }
         }
 
-        /** Connecting may have taken so long that a repeat would come after its window: then it is not made. */
+        /**
+         * Sends the request, unless its latest write time has passed because connecting took long: a repeat must not be sent
+         * after the end of its window.
+         */
         private void write(Connection on) {
-            if ((System.nanoTime() - decidedNanos) / 1e6 > writtenMs) {
+            if ((System.nanoTime() - decidedNanos) / 1e6 > latestWriteMs) {
                 end(AttemptOutcome.NOT_SENT);
                 on.close();
                 return;
             }
             FullHttpRequest request;
             try {
-                request = request();
+                request = createRequest();
             } catch (IllegalArgumentException e) {
-                // A value that is no header's: no byte of it is out, and the attempt still needs its end.
+                // A value is not valid in a header. Nothing was sent, and the end of the attempt must still be reported.
                 Log.warn("attempt.write_failed", "cause", e);
                 end(AttemptOutcome.UNREACHABLE);
                 on.close();
@@ -349,38 +364,38 @@
             connection = on;
             on.begin(this);
             on.channel.writeAndFlush(request).addListener(f -> {
-                flushed |= f.isSuccess();
+                requestWritten |= f.isSuccess();
                 if (!f.isSuccess()) {
-                    lost();
+                    connectionLost();
                     close();
                 }
             });
         }
 
-        private FullHttpRequest request() {
+        private FullHttpRequest createRequest() {
             FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST,
-                    "/v1/messages", Unpooled.wrappedBuffer(held.body), HEADERS,
+                    "/v1/messages", Unpooled.wrappedBuffer(message.body), HEADERS,
                     DefaultHttpHeadersFactory.trailersFactory());
             request.headers()
-                    .set(HttpHeaderNames.HOST, Config.hostPort(peer.address))
-                    .set("X-Call-Id", held.id)
+                    .set(HttpHeaderNames.HOST, Config.hostPort(target.address))
+                    .set("X-Call-Id", message.id)
                     .set("X-Budget-Ms", Math.max(1, (long) timeoutMs))
-                    .set(HttpHeaderNames.CONTENT_LENGTH, held.body.length);
-            held.key.ifPresent(key -> request.headers().set("Idempotency-Key", key));
+                    .set(HttpHeaderNames.CONTENT_LENGTH, message.body.length);
+            message.key.ifPresent(key -> request.headers().set("Idempotency-Key", key));
             return request;
         }
 
         private void timedOut() {
-            end(flushed ? AttemptOutcome.TIMED_OUT : AttemptOutcome.UNREACHABLE);
+            end(requestWritten ? AttemptOutcome.TIMED_OUT : AttemptOutcome.UNREACHABLE);
             close();
         }
 
-        /** The connection is gone: whether it may have run hangs on the last byte. */
-        private void lost() {
-            end(flushed ? AttemptOutcome.BROKEN : AttemptOutcome.UNREACHABLE);
+        /** The connection was lost. The endpoint may have processed the call only if the last byte was written. */
+        private void connectionLost() {
+            end(requestWritten ? AttemptOutcome.BROKEN : AttemptOutcome.UNREACHABLE);
         }
 
-        /** A connection that has gone on to another call is left alone. */
+        /** Closes the connection, unless it carries another call by now. */
         private void close() {
             if (connection != null && connection.call == this) {
                 connection.close();
@@ -389,29 +404,29 @@
 
         private void end(AttemptOutcome outcome) {
             timer.cancel(false);
-            end(outcome, false, toldWaitMs);
+            end(outcome, false, requestedDelayMs);
         }
 
         private void end(AttemptOutcome outcome, boolean gone, double waitMs) {
-            if (done) {
+            if (ended) {
                 return;
             }
-            done = true;
-            // Never at once: an end may be found while the module is being called.
-            loop.execute(() -> ends.ended(this, outcome, gone, waitMs, told));
+            ended = true;
+            // Report it in a separate task: this may run within a call from the delivery policy.
+            loop.execute(() -> listener.ended(this, outcome, gone, waitMs, limitReport));
         }
 
-        /** The first line said 200: that is true whatever follows. */
+        /** The status line has code 200: the message is delivered, whatever follows. */
         private void delivered() {
             end(AttemptOutcome.DELIVERED, false, 0);
         }
 
-        /** What cannot be read may have run; a delivery that was read before stands. */
-        private void spoilt() {
+        /** The answer is invalid; the endpoint may have processed the call. A delivery that was read before remains valid. */
+        private void invalidAnswer() {
             end(AttemptOutcome.BROKEN);
         }
 
-        /** What a whole answer says, by the protocol's table. */
+        /** Ends the call by the status of a complete answer, as the protocol defines it. */
         private void answered(HttpResponse response) {
             int code = response.status().code();
             AttemptOutcome outcome = switch (code) {
@@ -421,39 +436,42 @@
                 case 504, 410 -> AttemptOutcome.NOT_SENT;
                 default -> AttemptOutcome.ERROR;
             };
-            end(outcome, code == 410, toldWaitMs);
+            end(outcome, code == 410, requestedDelayMs);
         }
     }
 
-    /** The told wait; an unreadable one counts as none, and one without end would stop a destination for good. */
-    private static double waitMs(HttpResponse response) {
+    /**
+     * The delay in milliseconds that an answer requests in {@code Retry-After}; 0 if it is missing or invalid. The result is
+     * limited, because an infinite delay would stop a destination for good.
+     */
+    private static double requestedDelayMs(HttpResponse response) {
         try {
             double waitMs = Double.parseDouble(response.headers().get(HttpHeaderNames.RETRY_AFTER, "0")) * 1000;
-            return waitMs > 0 ? Math.min(waitMs, LONGEST_WAIT_MS) : 0;
+            return waitMs > 0 ? Math.min(waitMs, MAX_DELAY_MS) : 0;
         } catch (NumberFormatException e) {
             return 0;
         }
     }
 
-    /** What an answer's report, as {@code TEXT x0=0.4, x1=25}, tells of the limit; what can't be read is not told. */
-    private static LimitReport told(HttpResponse response) {
+    /** The rate limit in the load report of an answer, such as {@code TEXT x0=0.4, x1=25}. Invalid figures are ignored. */
+    private static LimitReport limitReport(HttpResponse response) {
         String report = response.headers().get("X-Load-Report");
         if (report == null) {
             return LimitReport.NOTHING;
         }
         double rate = 0;
         double left = -1;
-        for (String figure : FIGURES.split(report)) {
-            if (figure.startsWith(TOLD_RATE)) {
-                rate = figure(figure.substring(TOLD_RATE.length()));
-            } else if (figure.startsWith(TOLD_LEFT)) {
-                left = figure(figure.substring(TOLD_LEFT.length()));
+        for (String figure : REPORT_SEPARATOR.split(report)) {
+            if (figure.startsWith(RATE_PREFIX)) {
+                rate = parseNumber(figure.substring(RATE_PREFIX.length()));
+            } else if (figure.startsWith(REMAINING_PREFIX)) {
+                left = parseNumber(figure.substring(REMAINING_PREFIX.length()));
             }
         }
         return new LimitReport(rate, left);
     }
 
-    private static double figure(String text) {
+    private static double parseNumber(String text) {
         try {
             return Double.parseDouble(text);
         } catch (NumberFormatException e) {
@@ -462,22 +480,22 @@
     }
 
     /**
-     * Reads the first line of each answer before the codec does. A line with 200 ends the call at once, as
-     * nothing behind it can change that; what is no first line ends it too, since a head that never ends
-     * would keep it till its time-out. It reads past heads of 1xx answers and leaves all else to the codec.
+     * Reads the status line of each answer before the codec does. Status 200 ends the call at once, because nothing after it can
+     * change the result. An invalid status line ends it too: an answer whose header never ends would otherwise block the call
+     * until its time-out. Interim (1xx) answers are skipped; everything else is left to the codec.
      */
-    private final class FirstLine extends ChannelInboundHandlerAdapter {
-        private static final int LONGEST = 4096;
-        private static final String START = "HTTP/1.";
-        private static final String PLAIN = "HTTP/1.1 ";
-        /** HTTP/1.1, a code of three digits, and a reason if any. */
+    private final class StatusLineReader extends ChannelInboundHandlerAdapter {
+        private static final int MAX_LENGTH = 4096;
+        private static final String PREFIX = "HTTP/1.";
+        private static final String COMMON_PREFIX = "HTTP/1.1 ";
+        /** HTTP/1.0 or 1.1, a status code of three digits, and an optional reason phrase. */
         private static final Pattern STATUS = Pattern.compile("HTTP/1\\.[01] (\\d{3})(?: .*)?");
 
         private final Connection connection;
         private final StringBuilder line = new StringBuilder();
-        private boolean inInterimHead;
+        private boolean inInterimAnswer;
 
-        FirstLine(Connection connection) {
+        StatusLineReader(Connection connection) {
             this.connection = connection;
         }
 
@@ -486,91 +504,91 @@
             if (trace != null) {
                 trace.enter(Trace.Part.ANSWERS);
             }
-            look((ByteBuf) read);
+            readStatusLine((ByteBuf) read);
             ctx.fireChannelRead(read);
-            connection.answerGoesOn();
+            connection.startAnswerTimer();
             if (trace != null) {
                 trace.leave();
             }
         }
 
-        private void look(ByteBuf bytes) {
+        private void readStatusLine(ByteBuf bytes) {
             if (connection.call == null) {
-                // Nobody asked for this: the connection can't be trusted any more.
+                // Data without a request: the state of the connection is unknown, so it is closed.
                 connection.close();
             }
-            if (connection.awaitsFirstLine() && line.length() == 0 && !inInterimHead && plain(bytes)) {
+            if (connection.awaitsStatusLine() && line.length() == 0 && !inInterimAnswer && readCommonStatusLine(bytes)) {
                 return;
             }
-            for (int i = bytes.readerIndex(); i < bytes.writerIndex() && connection.awaitsFirstLine(); i++) {
+            for (int i = bytes.readerIndex(); i < bytes.writerIndex() && connection.awaitsStatusLine(); i++) {
                 connection.answerBegins();
-                take((char) (bytes.getByte(i) & 0xff));
+                append((char) (bytes.getByte(i) & 0xff));
             }
         }
 
-        /** The common case, a final status in one read, without a copy of the line. */
-        private boolean plain(ByteBuf bytes) {
+        /** Handles the common case, a complete HTTP/1.1 status line of a final answer in one read, without copying the line. */
+        private boolean readCommonStatusLine(ByteBuf bytes) {
             int at = bytes.readerIndex();
-            int end = bytes.indexOf(at, Math.min(bytes.writerIndex(), at + LONGEST), (byte) '\n');
-            if (end - at < PLAIN.length() + 4) {
+            int end = bytes.indexOf(at, Math.min(bytes.writerIndex(), at + MAX_LENGTH), (byte) '\n');
+            if (end - at < COMMON_PREFIX.length() + 4) {
                 return false;
             }
-            for (int i = 0; i < PLAIN.length(); i++) {
-                if (bytes.getByte(at + i) != PLAIN.charAt(i)) {
+            for (int i = 0; i < COMMON_PREFIX.length(); i++) {
+                if (bytes.getByte(at + i) != COMMON_PREFIX.charAt(i)) {
                     return false;
                 }
             }
             int code = 0;
-            for (int i = at + PLAIN.length(); i < at + PLAIN.length() + 3; i++) {
+            for (int i = at + COMMON_PREFIX.length(); i < at + COMMON_PREFIX.length() + 3; i++) {
                 int digit = bytes.getByte(i) - '0';
                 if (digit < 0 || digit > 9) {
                     return false;
                 }
                 code = 10 * code + digit;
             }
-            byte behind = bytes.getByte(at + PLAIN.length() + 3);
-            if (code < 200 || behind != ' ' && behind != '\r') {
+            byte separator = bytes.getByte(at + COMMON_PREFIX.length() + 3);
+            if (code < 200 || separator != ' ' && separator != '\r') {
                 return false;
             }
             connection.answerBegins();
-            connection.firstLine(code);
+            connection.statusReceived(code);
             return true;
         }
 
-        private void take(char c) {
+        private void append(char c) {
             if (c != '\n') {
                 line.append(c);
-                // Noise may come without a line's end.
-                boolean noise = !inInterimHead && line.length() <= START.length()
-                        && !START.startsWith(line.toString());
-                if (noise || line.length() > LONGEST) {
-                    connection.spoilt();
+                // Data that is not HTTP may contain no line break at all, so the prefix is checked at once.
+                boolean notHttp = !inInterimAnswer && line.length() <= PREFIX.length()
+                        && !PREFIX.startsWith(line.toString());
+                if (notHttp || line.length() > MAX_LENGTH) {
+                    connection.invalidAnswer();
                 }
                 return;
             }
             String text = line.toString().stripTrailing();
             line.setLength(0);
-            if (inInterimHead) {
-                inInterimHead = !text.isEmpty();
-                if (!inInterimHead) {
-                    connection.interimEnds();
+            if (inInterimAnswer) {
+                inInterimAnswer = !text.isEmpty();
+                if (!inInterimAnswer) {
+                    connection.interimAnswerEnded();
                 }
                 return;
             }
             Matcher status = STATUS.matcher(text);
             if (!status.matches() || status.group(1).equals("101")) {
-                connection.spoilt();
+                connection.invalidAnswer();
             } else if (status.group(1).startsWith("1")) {
-                inInterimHead = true;
+                inInterimAnswer = true;
             } else {
-                connection.firstLine(Integer.parseInt(status.group(1)));
+                connection.statusReceived(Integer.parseInt(status.group(1)));
             }
         }
     }
 
-    /** Netty's decoder, which tells of what lies behind a whole answer. */
-    private static final class Answers extends HttpResponseDecoder {
-        boolean holdsMore() {
+    /** Netty's decoder, which also reports whether data remains after a complete answer. */
+    private static final class AnswerDecoder extends HttpResponseDecoder {
+        boolean hasMoreData() {
             return actualReadableBytes() > 0;
         }
     }
@@ -578,16 +596,16 @@
     /** A connection to an endpoint; it carries one call at a time. */
     private final class Connection extends SimpleChannelInboundHandler<HttpObject> {
         private final Channel channel;
-        private final Answers answers = new Answers();
-        private Peer peer;
-        /** Where it leads: its peer may have moved since. */
+        private final AnswerDecoder decoder = new AnswerDecoder();
+        private Endpoint target;
+        /** The address that it is connected to; the endpoint may have another one by now. */
         private InetSocketAddress address;
         private Call call;
-        /** The answer's head, once it has come. */
+        /** The header of the answer, once it has been received. */
         private HttpResponse head;
-        private boolean lineRead;
+        private boolean statusRead;
         private long bodyBytes;
-        /** A byte of the answer has come. */
+        /** Whether the first byte of the answer has been received. */
         private boolean answerBegun;
         private Future<?> answerTimer;
         private long idleSince;
@@ -599,26 +617,26 @@
         private void begin(Call next) {
             call = next;
             head = null;
-            lineRead = false;
+            statusRead = false;
             bodyBytes = 0;
             answerTimer = null;
             answerBegun = false;
         }
 
-        /** From here on the answer has to end before long. */
+        /** The first byte of the answer was received; the time limit of the answer applies from now on. */
         private void answerBegins() {
             answerBegun = true;
         }
 
-        /** A read is over. Most answers end in their first one and need no timer. */
-        private void answerGoesOn() {
+        /** A read was processed. The timer is started only now because most answers are complete after their first read. */
+        private void startAnswerTimer() {
             if (call != null && answerBegun && answerTimer == null) {
-                answerTimer = loop.schedule(this::spoilt, ANSWER_MS, TimeUnit.MILLISECONDS);
+                answerTimer = loop.schedule(this::invalidAnswer, ANSWER_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             }
         }
 
-        /** A 1xx answer was ahead; the real one may take its time. */
-        private void interimEnds() {
+        /** An interim (1xx) answer has ended. The time limit starts again with the next answer. */
+        private void interimAnswerEnded() {
             answerBegun = false;
             if (answerTimer != null) {
                 answerTimer.cancel(false);
@@ -626,28 +644,28 @@
             }
         }
 
-        private boolean awaitsFirstLine() {
-            return call != null && !lineRead;
+        private boolean awaitsStatusLine() {
+            return call != null && !statusRead;
         }
 
-        private void firstLine(int code) {
-            lineRead = true;
+        private void statusReceived(int code) {
+            statusRead = true;
             if (code == 200) {
                 call.delivered();
             }
         }
 
-        /** The answer can't be read, or does not end: nothing that may still come on it is of use. */
-        private void spoilt() {
+        /** The answer is invalid or does not end. The connection is closed, and further data is ignored. */
+        private void invalidAnswer() {
             if (call != null) {
-                call.spoilt();
-                finish();
+                call.invalidAnswer();
+                detachCall();
             }
             close();
         }
 
-        /** The call has no more to do with this connection. */
-        private void finish() {
+        /** Detaches the call from this connection. */
+        private void detachCall() {
             call.timer.cancel(false);
             if (answerTimer != null) {
                 answerTimer.cancel(false);
@@ -658,44 +676,44 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
             if (call == null || part.decoderResult().isFailure()) {
-                spoilt();
+                invalidAnswer();
                 return;
             }
             if (part instanceof HttpResponse response) {
                 head = response;
-                call.told = told(response);
-                call.toldWaitMs = response.status().code() == 429 ? waitMs(response) : 0;
-                if (HttpUtil.getContentLength(response, 0L) > LONGEST_ANSWER) {
-                    spoilt();
+                call.limitReport = limitReport(response);
+                call.requestedDelayMs = response.status().code() == 429 ? requestedDelayMs(response) : 0;
+                if (HttpUtil.getContentLength(response, 0L) > MAX_BODY_BYTES) {
+                    invalidAnswer();
                     return;
                 }
             }
             if (part instanceof HttpContent content) {
                 bodyBytes += content.content().readableBytes();
-                if (bodyBytes > LONGEST_ANSWER) {
-                    spoilt();
+                if (bodyBytes > MAX_BODY_BYTES) {
+                    invalidAnswer();
                     return;
                 }
             }
             if (part instanceof LastHttpContent && head.status().codeClass() != HttpStatusClass.INFORMATIONAL) {
                 call.answered(head);
-                // An answer that overtakes its request leaves the connection in the middle of it.
-                boolean keep = HttpUtil.isKeepAlive(head) && call.flushed && !answers.holdsMore();
-                finish();
-                if (keep && idle < mostIdle && channel.isActive()) {
-                    loop.schedule(this::rested, REST_MS, TimeUnit.MILLISECONDS);
+                // If the answer arrived before the request was written completely, the connection cannot be reused.
+                boolean keep = HttpUtil.isKeepAlive(head) && call.requestWritten && !decoder.hasMoreData();
+                detachCall();
+                if (keep && idleCount < maxIdle && channel.isActive()) {
+                    loop.schedule(this::makeIdle, REUSE_DELAY_MS, TimeUnit.MILLISECONDS);
                 } else {
                     close();
                 }
             }
         }
 
-        /** Nothing came behind the answer: the next call may go over this connection. */
-        private void rested() {
-            if (channel.isActive() && idle < mostIdle && address.equals(peer.address)) {
+        /** Makes the connection available for the next call, unless it is closed, the endpoint has moved or too many are idle. */
+        private void makeIdle() {
+            if (channel.isActive() && idleCount < maxIdle && address.equals(target.address)) {
                 idleSince = System.nanoTime();
-                peer.idle.addLast(this);
-                idle++;
+                target.idle.addLast(this);
+                idleCount++;
             } else {
                 close();
             }
@@ -703,12 +721,12 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            if (peer != null && peer.idle.remove(this)) {
-                idle--;
+            if (target != null && target.idle.remove(this)) {
+                idleCount--;
             }
             if (call != null) {
-                call.lost();
-                finish();
+                call.connectionLost();
+                detachCall();
             }
         }
 
@@ -722,8 +740,8 @@
         }
 
         void close() {
-            if (peer != null && peer.idle.remove(this)) {
-                idle--;
+            if (target != null && target.idle.remove(this)) {
+                idleCount--;
             }
             channel.close();
         }
--- a/src/test/java/slipfield/transport/http/HttpTransportTest.java
+++ b/src/test/java/slipfield/transport/http/HttpTransportTest.java
@@ -27,9 +27,9 @@
 import slipfield.policy.DeliveryPolicy.AttemptTiming;
 import slipfield.standin.Stub;
 
-/** Each row of the protocol's table of outcomes, and the connections that calls go over. */
+/** The outcome of a call for each kind of answer or failure that the protocol defines, and the reuse of connections. */
 class HttpTransportTest {
-    private static final double LONG_MS = 20_000;
+    private static final double LONG_TIMEOUT_MS = 20_000;
 
     private record End(AttemptOutcome outcome, boolean gone, double waitMs) {
     }
@@ -37,20 +37,20 @@
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final BlockingQueue<End> ends = new LinkedBlockingQueue<>();
-    private final BlockingQueue<Double> told = new LinkedBlockingQueue<>();
-    private HttpTransport endpoints;
+    private final BlockingQueue<Double> reportedRates = new LinkedBlockingQueue<>();
+    private HttpTransport transport;
     private Stub stub;
 
     @BeforeEach
     void open() throws Exception {
         stub = new Stub(Stub.status(200, ""));
-        endpoints = new HttpTransport(loop, 1000, 15_000, 4,
+        transport = new HttpTransport(loop, 1000, 15_000, 4,
                 (call, outcome, gone, waitMs, limit) -> {
-                    told.add(limit.perSecond());
+                    reportedRates.add(limit.perSecond());
                     ends.add(new End(outcome, gone, waitMs));
                 });
-        endpoints.start();
-        at(stub.address());
+        transport.start();
+        setAddress(stub.address());
     }
 
     @AfterEach
@@ -59,17 +59,17 @@
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
 
-    private void at(InetSocketAddress address) {
-        loop.submit(() -> endpoints.updateEndpoint(1, address, true)).syncUninterruptibly();
+    private void setAddress(InetSocketAddress address) {
+        loop.submit(() -> transport.updateEndpoint(1, address, true)).syncUninterruptibly();
     }
 
     private Transport.Attempt start(byte[] body, double timeoutMs) throws Exception {
-        PendingMessage held = new PendingMessage(1, "id-1", "order", "t", Optional.of("key-1"), 7, 0, body);
-        return start(held, timeoutMs, 0);
+        PendingMessage message = new PendingMessage(1, "id-1", "order", "t", Optional.of("key-1"), 7, 0, body);
+        return start(message, timeoutMs, 0);
     }
 
-    private Transport.Attempt start(PendingMessage held, double timeoutMs, long decidedAgoMs) throws Exception {
-        return loop.submit(() -> endpoints.attempt(held, 0, 1, new AttemptTiming(timeoutMs, Double.POSITIVE_INFINITY),
+    private Transport.Attempt start(PendingMessage message, double timeoutMs, long decidedAgoMs) throws Exception {
+        return loop.submit(() -> transport.attempt(message, 0, 1, new AttemptTiming(timeoutMs, Double.POSITIVE_INFINITY),
                 System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(decidedAgoMs))).get();
     }
 
@@ -79,7 +79,7 @@
 
     private End call(Stub.Script script) throws Exception {
         stub.script(script);
-        start(new byte[] {'b', 'o', 'd', 'y'}, LONG_MS);
+        start(new byte[] {'b', 'o', 'd', 'y'}, LONG_TIMEOUT_MS);
         return end();
     }
 
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void idKeyBodyAndBudgetGoOn() throws Exception {
+    void idKeyBodyAndBudgetAreSent() throws Exception {
         expect(AttemptOutcome.DELIVERED, Stub.status(200, ""));
         Stub.Message m = stub.requests.get(0);
         assertEquals("POST /v1/messages HTTP/1.1", m.line());
@@ -99,52 +99,52 @@
         assertEquals("body", m.body());
     }
 
-    /** Found where messages were lost after restarts: calls of a turn that took a second ended a second late. */
+    /** Messages were lost after restarts: calls of an event-loop iteration that took a second timed out a second late. */
     @Test
-    void aTimeOutCountsFromTheDecisionHoweverLateTheCall() throws Exception {
+    void aTimeOutCountsFromTheDecisionEvenIfTheCallStartsLate() throws Exception {
         stub.script(Stub.silent());
-        PendingMessage held = new PendingMessage(1, "id-1", "order", "t", Optional.of("key-1"), 7, 0, new byte[0]);
-        start(held, 600_000, 600_000);
-        assertTrue(end() != null, "it ends at once, not in ten minutes");
+        PendingMessage message = new PendingMessage(1, "id-1", "order", "t", Optional.of("key-1"), 7, 0, new byte[0]);
+        start(message, 600_000, 600_000);
+        assertTrue(end() != null, "it times out at once, not after ten minutes");
     }
 
-    /** Found where sends came 2.10 s after the list had told of a drain: connecting had taken the time. */
+    /** Calls were sent 2.10 s after the endpoint list had reported a drain, because connecting had taken that long. */
     @Test
-    void aCallWhoseEndpointLeftTheListWhileItWasConnectedIsNotMade() throws Exception {
-        PendingMessage held = new PendingMessage(1, "id-1", "order", "t", Optional.of("key-1"), 7, 0, new byte[0]);
+    void aCallIsNotSentIfItsEndpointWasStoppedWhileConnecting() throws Exception {
+        PendingMessage message = new PendingMessage(1, "id-1", "order", "t", Optional.of("key-1"), 7, 0, new byte[0]);
         loop.submit(() -> {
-            endpoints.attempt(held, 0, 1, new AttemptTiming(LONG_MS, LONG_MS), System.nanoTime());
-            endpoints.stop(1);
+            transport.attempt(message, 0, 1, new AttemptTiming(LONG_TIMEOUT_MS, LONG_TIMEOUT_MS), System.nanoTime());
+            transport.stop(1);
         }).get();
         assertEquals(new End(AttemptOutcome.NOT_SENT, false, 0), end());
         loop.submit(() -> {
-            endpoints.updateEndpoint(1, stub.address(), true);
-            endpoints.attempt(held, 0, 1, new AttemptTiming(LONG_MS, LONG_MS), System.nanoTime());
-            endpoints.updateEndpoint(1, stub.address(), false);
+            transport.updateEndpoint(1, stub.address(), true);
+            transport.attempt(message, 0, 1, new AttemptTiming(LONG_TIMEOUT_MS, LONG_TIMEOUT_MS), System.nanoTime());
+            transport.updateEndpoint(1, stub.address(), false);
         }).get();
         assertEquals(new End(AttemptOutcome.NOT_SENT, false, 0), end());
         assertEquals(List.of(), stub.requests);
     }
 
     /**
-     * Found on a split day: a repeat was decided within its window, and its connection came up when that was over. Its
-     * decision lies back here, so that the time has passed by when the connection is there, whatever the machine does.
+     * Found on a split day: a repeat was decided within its window, but its connection was established after the window. Here the
+     * decision is in the past, so that the window is always over when the connection is established.
      */
     @Test
-    void aRepeatWhoseConnectionComesUpAfterItsWindowIsNotMade() throws Exception {
-        PendingMessage held = new PendingMessage(1, "id-1", "order", "t", Optional.of("key-1"), 7, 0, new byte[0]);
+    void aRepeatIsNotSentIfItsConnectionIsEstablishedAfterItsWindow() throws Exception {
+        PendingMessage message = new PendingMessage(1, "id-1", "order", "t", Optional.of("key-1"), 7, 0, new byte[0]);
         long decided = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(300);
-        loop.submit(() -> endpoints.attempt(held, 0, 1, new AttemptTiming(LONG_MS, 250), decided)).get();
+        loop.submit(() -> transport.attempt(message, 0, 1, new AttemptTiming(LONG_TIMEOUT_MS, 250), decided)).get();
         assertEquals(new End(AttemptOutcome.NOT_SENT, false, 0), end());
         assertEquals(List.of(), stub.requests);
         expect(AttemptOutcome.DELIVERED, Stub.status(200, ""));
-        loop.submit(() -> endpoints.attempt(held, 0, 1, new AttemptTiming(LONG_MS, 250), decided)).get();
+        loop.submit(() -> transport.attempt(message, 0, 1, new AttemptTiming(LONG_TIMEOUT_MS, 250), decided)).get();
         assertEquals(new End(AttemptOutcome.NOT_SENT, false, 0), end());
-        assertEquals(1, stub.requests.size(), "nor on a connection that was kept");
+        assertEquals(1, stub.requests.size(), "a repeat is not sent on an idle connection either");
     }
 
     @Test
-    void statusesMeanWhatTheTableSays() throws Exception {
+    void statusesMapToOutcomesAsInTheProtocol() throws Exception {
         expect(AttemptOutcome.ERROR, Stub.status(500, ""));
         assertEquals(new End(AttemptOutcome.FULL, false, 1250), call(Stub.status(429, "Retry-After: 1.25\r\n")));
         expect(AttemptOutcome.FULL, Stub.status(503, ""));
@@ -166,16 +166,16 @@
         ServerSocket unused = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         InetSocketAddress address = (InetSocketAddress) unused.getLocalSocketAddress();
         unused.close();
-        at(address);
-        start(new byte[1], LONG_MS);
+        setAddress(address);
+        start(new byte[1], LONG_TIMEOUT_MS);
         assertEquals(new End(AttemptOutcome.UNREACHABLE, false, 0), end());
     }
 
     @Test
     void aConnectionThatBreaksBeforeTheLastByteIsUnreachable() throws Exception {
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            at((InetSocketAddress) full.getLocalSocketAddress());
-            start(new byte[64 << 20], LONG_MS);
+            setAddress((InetSocketAddress) full.getLocalSocketAddress());
+            start(new byte[64 << 20], LONG_TIMEOUT_MS);
             try (Socket socket = full.accept()) {
                 socket.getInputStream().read();
                 socket.setSoLinger(true, 0);
@@ -185,20 +185,21 @@
     }
 
     @Test
-    void silenceIsATimeOutAndClosesTheConnection() throws Exception {
+    void aCallWithoutAnAnswerTimesOutAndItsConnectionIsClosed() throws Exception {
         expect(AttemptOutcome.DELIVERED, Stub.status(200, ""));
-        awaitKept();
+        awaitIdle();
         stub.script(Stub.silent());
         start(new byte[1], 30);
         assertEquals(new End(AttemptOutcome.TIMED_OUT, false, 0), end());
         expect(AttemptOutcome.DELIVERED, Stub.status(200, ""));
-        assertEquals(1, stub.requests.get(stub.requests.size() - 1).connection(), "a late answer must not meet the next call");
+        assertEquals(1, stub.requests.get(stub.requests.size() - 1).connection(),
+                "a late answer must not be read as that of the next call");
     }
 
     @Test
     void aCancelledCallEndsOnceAndClosesTheConnection() throws Exception {
         stub.script(Stub.silent());
-        Transport.Attempt call = start(new byte[1], LONG_MS);
+        Transport.Attempt call = start(new byte[1], LONG_TIMEOUT_MS);
         Stub.await("the call arrives", () -> !stub.requests.isEmpty());
         loop.submit(() -> call.cancel()).syncUninterruptibly();
         assertEquals(new End(AttemptOutcome.CANCELLED, false, 0), end());
@@ -206,18 +207,19 @@
         assertEquals(1, stub.requests.get(1).connection());
     }
 
-    /** Else a keyed message that was never written would be failed when a window is over that never began. */
+    /** Otherwise a keyed message that was never sent would fail at the end of a window that never began. */
     @Test
-    void aCallThatIsCancelledBeforeItsConnectionIsUpNeverRan() throws Exception {
-        PendingMessage held = new PendingMessage(1, "id-1", "order", "t", Optional.of("key-1"), 7, 0, new byte[0]);
-        loop.submit(() -> endpoints.attempt(held, 0, 1, new AttemptTiming(LONG_MS, LONG_MS), System.nanoTime()).cancel()).get();
+    void aCallThatIsCancelledWhileConnectingCountsAsNotSent() throws Exception {
+        PendingMessage message = new PendingMessage(1, "id-1", "order", "t", Optional.of("key-1"), 7, 0, new byte[0]);
+        loop.submit(() -> transport.attempt(message, 0, 1, new AttemptTiming(LONG_TIMEOUT_MS, LONG_TIMEOUT_MS), System.nanoTime())
+                .cancel()).get();
         assertEquals(new End(AttemptOutcome.NOT_SENT, false, 0), end());
         expect(AttemptOutcome.DELIVERED, Stub.status(200, ""));
         assertEquals(1, stub.requests.size());
     }
 
     @Test
-    void aConnectionIsKeptForTheNextCallAfterAnyWholeAnswer() throws Exception {
+    void aConnectionIsReusedAfterAnyCompleteAnswer() throws Exception {
         expect(AttemptOutcome.DELIVERED, (request, socket) -> {
             for (char c : "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                     .toCharArray()) {
@@ -225,42 +227,42 @@
             }
             Stub.write(socket, "3\r\nabc\r\n0\r\n\r\n");
         });
-        awaitKept();
+        awaitIdle();
         expect(AttemptOutcome.ERROR, Stub.status(500, ""));
-        awaitKept();
+        awaitIdle();
         expect(AttemptOutcome.DELIVERED, Stub.status(200, ""));
         assertEquals(0, stub.requests.get(2).connection());
     }
 
     @Test
-    void aConnectionThatTheEndpointClosedIsNotUsedAgain() throws Exception {
+    void aConnectionThatTheEndpointClosedIsNotReused() throws Exception {
         expect(AttemptOutcome.DELIVERED, (request, socket) -> {
             Stub.status(200, "").come(request, socket);
             socket.close();
         });
-        Stub.await("the close is noticed", () -> kept() == 0);
+        Stub.await("the close is noticed", () -> idleConnections() == 0);
         expect(AttemptOutcome.DELIVERED, Stub.status(200, ""));
         expect(AttemptOutcome.DELIVERED, Stub.status(200, "Connection: close\r\n"));
-        Stub.await("the announced close is kept", () -> kept() == 0);
+        Stub.await("the connection is closed as announced", () -> idleConnections() == 0);
         expect(AttemptOutcome.DELIVERED, Stub.status(200, ""));
     }
 
     @Test
-    void aDrainingOrMovedEndpointsIdleConnectionsAreClosed() throws Exception {
+    void idleConnectionsOfADrainingEndpointAreClosed() throws Exception {
         expect(AttemptOutcome.DELIVERED, Stub.status(200, ""));
-        awaitKept();
-        loop.submit(() -> endpoints.updateEndpoint(1, stub.address(), false)).syncUninterruptibly();
-        assertEquals(0, kept());
+        awaitIdle();
+        loop.submit(() -> transport.updateEndpoint(1, stub.address(), false)).syncUninterruptibly();
+        assertEquals(0, idleConnections());
     }
 
     private static Stub.Script raw(String answer) {
         return (request, socket) -> Stub.write(socket, answer);
     }
 
-    /** None of these ends the connection, and the calls' time-out is too far off to be what ends them. */
+    /** The stub never closes the connection, and the time-out of the calls is too long to end them. */
     @Test
-    void aSpoiltAnswerIsBrokenAtOnceAndItsConnectionClosed() throws Exception {
-        List<String> spoilt = List.of(
+    void anInvalidAnswerEndsTheCallAsBrokenAndClosesTheConnection() throws Exception {
+        List<String> invalid = List.of(
                 "\u0001\u0002 noise without a line",
                 "HTTP/1.1 2",
                 "HTTP/1.1 500 x\r\nX-More: more",
@@ -272,17 +274,17 @@
                 "HTTP/1.1 503 x\r\n\r\n" + "x".repeat(100_000),
                 "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
                 "HTTP/1.1 twohundred x\r\nContent-Length: 0\r\n\r\n");
-        for (String answer : spoilt) {
+        for (String answer : invalid) {
             stub.script(raw(answer));
             start(new byte[1], 600_000);
             assertEquals(new End(AttemptOutcome.BROKEN, false, 0), end(), answer);
         }
-        assertEquals(spoilt.size(), stub.requests.stream().map(Stub.Message::connection).distinct().count(),
-                "no connection is used again");
+        assertEquals(invalid.size(), stub.requests.stream().map(Stub.Message::connection).distinct().count(),
+                "no connection is reused");
     }
 
     @Test
-    void aFirstLineWith200IsADeliveryWhateverFollows() throws Exception {
+    void aStatusLineWith200IsADeliveryWhateverFollows() throws Exception {
         for (String rest : List.of("", "X-More: more", "\u0001\u0002\r\n\r\n", "Content-Length: many\r\n\r\n",
                 "Content-Length: 10\r\n\r\nfour", "Content-Length: 3000000000\r\n\r\nxxx",
                 "X-More: more\r\n".repeat(2000))) {
@@ -295,52 +297,52 @@
     }
 
     @Test
-    void whatComesBehindAnAnswerIsNotTakenForTheNext() throws Exception {
+    void dataAfterAnAnswerIsNotReadAsTheNextAnswer() throws Exception {
         String ok = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-        for (String behind : List.of(ok, "noise", "\r\n")) {
+        for (String extra : List.of(ok, "noise", "\r\n")) {
             int before = stub.ended();
             stub.script((request, socket) -> {
                 Stub.write(socket, ok);
-                Stub.write(socket, behind);
+                Stub.write(socket, extra);
             });
-            start(new byte[1], LONG_MS);
+            start(new byte[1], LONG_TIMEOUT_MS);
             assertEquals(new End(AttemptOutcome.DELIVERED, false, 0), end());
             stub.script(Stub.status(500, ""));
-            start(new byte[1], LONG_MS);
+            start(new byte[1], LONG_TIMEOUT_MS);
             assertEquals(new End(AttemptOutcome.ERROR, false, 0), end(), "the next call's own answer");
             Stub.await("the connection is closed", () -> stub.ended() > before);
         }
     }
 
     @Test
-    void interimAnswersAheadAreSkippedHoweverLongTheRealOneTakes() throws Exception {
+    void interimAnswersAreSkippedHoweverLongTheFinalOneTakes() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         stub.script((request, socket) -> {
             Stub.write(socket, "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n");
             go.await();
             Stub.write(socket, "HTTP/1.1 429 x\r\nRetry-After: 0.5\r\nContent-Length: 0\r\n\r\n");
         });
-        start(new byte[1], LONG_MS);
-        // Longer than a whole answer may take.
+        start(new byte[1], LONG_TIMEOUT_MS);
+        // Longer than the time limit of an answer.
         assertNull(ends.poll(1500, TimeUnit.MILLISECONDS));
         go.countDown();
         assertEquals(new End(AttemptOutcome.FULL, false, 500), end());
     }
 
     @Test
-    void theRateThatAReportTellsIsReadWhereItCanBe() throws Exception {
+    void theReportedRateIsReadIfItIsValid() throws Exception {
         for (int status : List.of(200, 429)) {
             for (String report : List.of("TEXT x0=0.4, x1=25", "TEXT x1=25,x0=0", "\u0001\u00ff x1=", "TEXT x1=many",
                     "TEXT")) {
                 call(Stub.status(status, "X-Load-Report: " + report + "\r\n"));
                 double rate = report.contains("25") ? 25 : 0;
-                assertEquals(rate, told.take(), report);
+                assertEquals(rate, reportedRates.take(), report);
             }
         }
     }
 
     @Test
-    void aToldWaitIsANumberWithinBounds() throws Exception {
+    void aRequestedDelayIsANumberWithinBounds() throws Exception {
         for (String none : List.of("NaN", "-Infinity", "-5", "soon")) {
             assertEquals(new End(AttemptOutcome.FULL, false, 0), call(Stub.status(429, "Retry-After: " + none + "\r\n")));
         }
@@ -350,9 +352,9 @@
         }
     }
 
-    /** A wait holds from when it was written: that the rest of its answer is cut off, or never ends, changes nothing. */
+    /** A requested delay applies even if the rest of its answer is cut off or never ends. */
     @Test
-    void aToldWaitIsHeardThoughItsAnswerIsSpoilt() throws Exception {
+    void aRequestedDelayIsReadFromAnInvalidAnswer() throws Exception {
         String head = "HTTP/1.1 429 x\r\nRetry-After: 2\r\nContent-Length: 500\r\n\r\n";
         assertEquals(new End(AttemptOutcome.BROKEN, false, 2000), call((m, socket) -> {
             Stub.write(socket, head + "cut");
@@ -363,58 +365,58 @@
     }
 
     @Test
-    void aCallThatCantBeWrittenHasAnEnd() throws Exception {
-        PendingMessage held = new PendingMessage(1, "no\r\nheader", "order", "t", Optional.empty(), 7, 0, new byte[1]);
-        start(held, 600_000, 0);
+    void theEndOfACallThatCannotBeWrittenIsReported() throws Exception {
+        PendingMessage message = new PendingMessage(1, "no\r\nheader", "order", "t", Optional.empty(), 7, 0, new byte[1]);
+        start(message, 600_000, 0);
         assertEquals(new End(AttemptOutcome.UNREACHABLE, false, 0), end());
         assertTrue(stub.requests.isEmpty());
     }
 
     @Test
-    void anEndpointThatIsForgottenLeavesNothingBehind() throws Exception {
+    void forgettingAnEndpointClosesItsConnectionsAfterTheirCalls() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         expect(AttemptOutcome.DELIVERED, Stub.status(200, ""));
-        awaitKept();
+        awaitIdle();
         stub.script((request, socket) -> {
             go.await();
             Stub.status(200, "").come(request, socket);
         });
-        start(new byte[1], LONG_MS);
-        start(new byte[1], LONG_MS);
-        Stub.await("the calls are out", () -> stub.requests.size() == 3);
-        loop.submit(() -> endpoints.forget(1)).syncUninterruptibly();
+        start(new byte[1], LONG_TIMEOUT_MS);
+        start(new byte[1], LONG_TIMEOUT_MS);
+        Stub.await("the calls are sent", () -> stub.requests.size() == 3);
+        loop.submit(() -> transport.forget(1)).syncUninterruptibly();
         go.countDown();
-        assertEquals(new End(AttemptOutcome.DELIVERED, false, 0), end(), "a call that is out still ends");
+        assertEquals(new End(AttemptOutcome.DELIVERED, false, 0), end(), "the end of a call in progress is still reported");
         assertEquals(new End(AttemptOutcome.DELIVERED, false, 0), end());
         Stub.await("its connections are closed", () -> stub.ended() == 2);
-        assertEquals(0, kept());
-        assertEquals(0, loop.submit(() -> endpoints.knownEndpoints()).get());
+        assertEquals(0, idleConnections());
+        assertEquals(0, loop.submit(() -> transport.knownEndpoints()).get());
     }
 
     @Test
-    void aConnectionToTheOldAddressOfAMovedEndpointIsNotUsedAgain() throws Exception {
+    void aConnectionToThePreviousAddressOfAnEndpointIsNotReused() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         stub.script((request, socket) -> {
             go.await();
             Stub.status(200, "").come(request, socket);
         });
-        start(new byte[1], LONG_MS);
-        Stub.await("the call is out", () -> stub.requests.size() == 1);
+        start(new byte[1], LONG_TIMEOUT_MS);
+        Stub.await("the call is sent", () -> stub.requests.size() == 1);
         try (Stub moved = new Stub(Stub.status(500, ""))) {
-            at(moved.address());
+            setAddress(moved.address());
             go.countDown();
             assertEquals(new End(AttemptOutcome.DELIVERED, false, 0), end());
             Stub.await("the old connection is closed", () -> stub.ended() == 1);
-            start(new byte[1], LONG_MS);
+            start(new byte[1], LONG_TIMEOUT_MS);
             assertEquals(new End(AttemptOutcome.ERROR, false, 0), end());
         }
     }
 
-    private void awaitKept() throws Exception {
-        Stub.await("the connection is kept", () -> kept() == 1);
+    private void awaitIdle() throws Exception {
+        Stub.await("the connection is idle", () -> idleConnections() == 1);
     }
 
-    private int kept() {
-        return loop.submit(() -> endpoints.idleConnections()).syncUninterruptibly().getNow();
+    private int idleConnections() {
+        return loop.submit(() -> transport.idleConnections()).syncUninterruptibly().getNow();
     }
 }
