--- a/src/main/java/slipfield/agent/AgentClient.java
+++ b/src/main/java/slipfield/agent/AgentClient.java
@@ -24,8 +24,9 @@
 import slipfield.socket.StreamChannel;
 
 /**
- * HTTP client of the platform's agent. It uses one persistent connection and sends one request at a time. The agent may stop
- * answering without closing the connection, so each request has a time limit; when it expires, the connection is closed.
+ * HTTP client of the platform's agent, also used for Consul's agents. It uses one persistent connection and sends one request at
+ * a time; callers must wait for its end before they send the next one. The agent may stop answering without closing the
+ * connection, so each request has a time limit; when it expires, the connection is closed.
  */
 public final class AgentClient {
     private static final int MAX_ANSWER_BYTES = 4 << 20;
--- a/src/main/java/slipfield/transport/http/HttpTransport.java
+++ b/src/main/java/slipfield/transport/http/HttpTransport.java
@@ -70,7 +70,7 @@
     private static final long REUSE_DELAY_MS = 10;
     private static final String RATE_PREFIX = Params.REPORTED_RATE + "=";
     private static final String REMAINING_PREFIX = Params.REPORTED_REMAINING + "=";
-    /** Separates the figures of a load report. */
+    /** Separates the entries of a load report. */
     private static final Pattern REPORT_SEPARATOR = Pattern.compile("[,\\s]+");
     /** Limit on the delay that an endpoint requests, in milliseconds; no message is pending for that long. */
     private static final double MAX_DELAY_MS = 60_000;
@@ -453,7 +453,7 @@
         }
     }
 
-    /** The rate limit in the load report of an answer, such as {@code TEXT x0=0.4, x1=25}. Invalid figures are ignored. */
+    /** The rate limit in the load report of an answer, such as {@code TEXT x0=0.4, x1=25}. Invalid entries are ignored. */
     private static LimitReport limitReport(HttpResponse response) {
         String report = response.headers().get("X-Load-Report");
         if (report == null) {
@@ -461,11 +461,11 @@
         }
         double rate = 0;
         double left = -1;
-        for (String figure : REPORT_SEPARATOR.split(report)) {
-            if (figure.startsWith(RATE_PREFIX)) {
-                rate = parseNumber(figure.substring(RATE_PREFIX.length()));
-            } else if (figure.startsWith(REMAINING_PREFIX)) {
-                left = parseNumber(figure.substring(REMAINING_PREFIX.length()));
+        for (String entry : REPORT_SEPARATOR.split(report)) {
+            if (entry.startsWith(RATE_PREFIX)) {
+                rate = parseNumber(entry.substring(RATE_PREFIX.length()));
+            } else if (entry.startsWith(REMAINING_PREFIX)) {
+                left = parseNumber(entry.substring(REMAINING_PREFIX.length()));
             }
         }
         return new LimitReport(rate, left);
