--- /dev/null
+++ b/src/test/java/slipfield/front/http/HttpFrontendTest.java
@@ -0,0 +1,365 @@
+package slipfield.front.http;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.netty.channel.EventLoop;
+import io.netty.channel.EventLoopGroup;
+import io.netty.channel.MultiThreadIoEventLoopGroup;
+import io.netty.channel.nio.NioIoHandler;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import java.io.BufferedInputStream;
+import java.net.ConnectException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.Socket;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import slipfield.core.MessageIntake;
+import slipfield.journal.AnswerRecipient;
+import slipfield.journal.PendingMessage;
+import slipfield.standin.Stub;
+
+/** The HTTP frontend without a sender: the limit on client connections, and the order of journal writes and answers. */
+class HttpFrontendTest {
+    private static final int MAX_CLIENTS = 10;
+
+    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final List<Socket> sockets = new ArrayList<>();
+
+    @AfterEach
+    void close() throws Exception {
+        group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
+        for (Socket socket : sockets) {
+            socket.close();
+        }
+    }
+
+    /** Is ready, but knows no class, tenant or destination. */
+    private static class EmptyIntake implements MessageIntake {
+        @Override
+        public boolean ready() {
+            return true;
+        }
+
+        @Override
+        public boolean knowsClass(String name) {
+            return false;
+        }
+
+        @Override
+        public boolean knowsTenant(String name) {
+            return false;
+        }
+
+        @Override
+        public boolean needsKey(String messageClass) {
+            return false;
+        }
+
+        @Override
+        public boolean knowsDestination(long destination) {
+            return false;
+        }
+
+        @Override
+        public Optional<DuplicateState> checkDuplicate(String id, AnswerRecipient recipient) {
+            return Optional.empty();
+        }
+
+        @Override
+        public void recipientGone(String outcome, String peer) {
+        }
+
+        @Override
+        public SubmissionResult submit(Submission submission) {
+            return SubmissionResult.refused("no room", 0);
+        }
+
+        @Override
+        public boolean writeAccepted() {
+            return true;
+        }
+
+        @Override
+        public void acceptanceReported(PendingMessage message, boolean received) {
+        }
+    }
+
+    /** Knows every class, tenant and destination, refuses all messages and records their ids. */
+    private static class RecordingIntake extends EmptyIntake {
+        private final List<String> submittedIds = new CopyOnWriteArrayList<>();
+
+        @Override
+        public boolean ready() {
+            return true;
+        }
+
+        @Override
+        public boolean knowsClass(String name) {
+            return true;
+        }
+
+        @Override
+        public boolean knowsTenant(String name) {
+            return true;
+        }
+
+        @Override
+        public boolean knowsDestination(long destination) {
+            return true;
+        }
+
+        @Override
+        public SubmissionResult submit(Submission submission) {
+            submittedIds.add(submission.id());
+            return super.submit(submission);
+        }
+    }
+
+    private static void submit(Socket socket, String id) throws Exception {
+        Stub.write(socket, "POST /order HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + id + "\r\nX-Budget-Ms: 9000\r\n"
+                + "X-Envelope: dest=7\r\nContent-Length: 2\r\n\r\nhi");
+    }
+
+    /** Found on a reload day: short of CPU, the sender mostly processed requests of clients that had already disconnected. */
+    @Test
+    void requestsOfDisconnectedClientsAreDropped() throws Exception {
+        EventLoop loop = group.next();
+        RecordingIntake intake = new RecordingIntake();
+        HttpFrontend frontend = new HttpFrontend(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MAX_CLIENTS,
+                intake);
+        InetSocketAddress address = frontend.listen();
+        CountDownLatch written = new CountDownLatch(1);
+        blockLoop(loop, written);
+        for (int i = 0; i < 5; i++) {
+            sockets.add(new Socket(address.getAddress(), address.getPort()));
+            submit(sockets.get(i), "id-" + i);
+            if (i < 4) {
+                sockets.get(i).close();
+            }
+        }
+        written.countDown();
+        Stub.Message answer = Stub.read(new BufferedInputStream(sockets.get(4).getInputStream()), 0);
+        assertEquals("HTTP/1.1 503 Service Unavailable", answer.line());
+        assertEquals(List.of("id-4"), intake.submittedIds);
+    }
+
+    /** Found on reload days: an orderly shutdown reset connections that a late event loop had not accepted yet. */
+    @Test
+    void whoHasConnectedBeforeTheListenerClosesIsAnswered() throws Exception {
+        EventLoop loop = group.next();
+        RecordingIntake intake = new RecordingIntake();
+        HttpFrontend frontend = new HttpFrontend(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MAX_CLIENTS,
+                intake);
+        InetSocketAddress address = frontend.listen();
+        CountDownLatch written = new CountDownLatch(1);
+        loop.execute(() -> {
+            try {
+                written.await();
+                frontend.close();
+            } catch (InterruptedException e) {
+                Thread.currentThread().interrupt();
+            }
+        });
+        for (int i = 0; i < 5; i++) {
+            sockets.add(new Socket(address.getAddress(), address.getPort()));
+            submit(sockets.get(i), "id-" + i);
+        }
+        written.countDown();
+        for (Socket socket : sockets) {
+            Stub.Message answer = Stub.read(new BufferedInputStream(socket.getInputStream()), 0);
+            assertEquals("HTTP/1.1 503 Service Unavailable", answer.line());
+        }
+        assertEquals(5, intake.submittedIds.size());
+        assertThrows(ConnectException.class, () -> new Socket(address.getAddress(), address.getPort()));
+    }
+
+    /** Accepts all messages and records the steps. {@code writable} tells whether the journal can be written. */
+    private static class AcceptingIntake extends RecordingIntake {
+        private final boolean writable;
+        private final List<String> steps = new CopyOnWriteArrayList<>();
+
+        AcceptingIntake(boolean writable) {
+            this.writable = writable;
+        }
+
+        @Override
+        public SubmissionResult submit(Submission s) {
+            steps.add("accepted");
+            return SubmissionResult.accepted(
+                    new PendingMessage(steps.size(), s.id(), s.messageClass(), "", s.key(), 7, 0, s.body()));
+        }
+
+        @Override
+        public boolean writeAccepted() {
+            steps.add("written");
+            return writable;
+        }
+
+        @Override
+        public void acceptanceReported(PendingMessage message, boolean received) {
+            steps.add(received ? "reported" : "not reported");
+        }
+    }
+
+    private List<String> submitTogether(AcceptingIntake intake, String statusLine) throws Exception {
+        return submitTogether(intake, statusLine, "id-0", "id-1", "id-2");
+    }
+
+    private List<String> submitTogether(AcceptingIntake intake, String statusLine, String... ids) throws Exception {
+        EventLoop loop = group.next();
+        HttpFrontend frontend = new HttpFrontend(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MAX_CLIENTS,
+                intake);
+        InetSocketAddress address = frontend.listen();
+        for (int i = 0; i < 3; i++) {
+            sockets.add(new Socket(address.getAddress(), address.getPort()));
+        }
+        Stub.await("all are accepted", () -> loop.submit(frontend::openConnections).syncUninterruptibly().getNow() == 3);
+        CountDownLatch written = new CountDownLatch(1);
+        blockLoop(loop, written);
+        for (int i = 0; i < 3; i++) {
+            submit(sockets.get(i), ids[i]);
+        }
+        written.countDown();
+        for (Socket socket : sockets) {
+            assertEquals(statusLine, Stub.read(new BufferedInputStream(socket.getInputStream()), 0).line());
+        }
+        // The event loop may still be working after the last answer was read.
+        loop.submit(() -> { }).syncUninterruptibly();
+        return List.copyOf(intake.steps);
+    }
+
+    @Test
+    void messagesOfOneIterationAreWrittenTogetherBeforeTheyAreAnswered() throws Exception {
+        assertEquals(List.of("accepted", "accepted", "accepted", "written", "reported", "reported", "reported"),
+                submitTogether(new AcceptingIntake(true), "HTTP/1.1 202 Accepted"));
+    }
+
+    @Test
+    void messagesThatCannotBeWrittenAreRefused() throws Exception {
+        assertEquals(List.of("accepted", "accepted", "accepted", "written", "not reported", "not reported", "not reported"),
+                submitTogether(new AcceptingIntake(false), "HTTP/1.1 503 Service Unavailable"));
+    }
+
+    /** Otherwise the second submission of an id could be answered as pending although the first one could not be written. */
+    @Test
+    void duplicatesAreCheckedAfterThePendingWriteOfTheSameId() throws Exception {
+        AcceptingIntake intake = new AcceptingIntake(false) {
+            @Override
+            public Optional<DuplicateState> checkDuplicate(String id, AnswerRecipient recipient) {
+                super.steps.add("checked");
+                return Optional.empty();
+            }
+        };
+        assertEquals(List.of("checked", "accepted", "written", "not reported", "checked", "accepted", "written", "not reported",
+                "checked", "accepted", "written", "not reported"),
+                submitTogether(intake, "HTTP/1.1 503 Service Unavailable", "same", "same", "same"));
+    }
+
+    @Test
+    void answersKeepTheOrderOfTheRequestsOnAConnection() throws Exception {
+        EventLoop loop = group.next();
+        AcceptingIntake intake = new AcceptingIntake(true);
+        HttpFrontend frontend = new HttpFrontend(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MAX_CLIENTS,
+                intake);
+        InetSocketAddress address = frontend.listen();
+        Socket socket = new Socket(address.getAddress(), address.getPort());
+        sockets.add(socket);
+        Stub.write(socket, "POST /order HTTP/1.1\r\nHost: x\r\nX-Call-Id: a\r\nX-Budget-Ms: 9000\r\n"
+                + "X-Envelope: dest=7\r\nContent-Length: 0\r\n\r\nGET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
+        BufferedInputStream in = new BufferedInputStream(socket.getInputStream());
+        assertEquals("HTTP/1.1 202 Accepted", Stub.read(in, 0).line());
+        assertEquals("HTTP/1.1 200 OK", Stub.read(in, 0).line());
+    }
+
+    /** Blocks the event loop until the latch is released, so that all data that arrives meanwhile is read in one iteration. */
+    private static void blockLoop(EventLoop loop, CountDownLatch until) throws InterruptedException {
+        CountDownLatch busy = new CountDownLatch(1);
+        loop.execute(() -> {
+            try {
+                busy.countDown();
+                until.await();
+            } catch (InterruptedException e) {
+                Thread.currentThread().interrupt();
+            }
+        });
+        busy.await();
+    }
+
+    /** Incident r0b62c9: hundreds of connections in one event-loop iteration all selected the same connection for eviction. */
+    @Test
+    void manySimultaneousConnectionsStayWithinTheLimit() throws Exception {
+        EventLoop loop = group.next();
+        HttpFrontend frontend = new HttpFrontend(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MAX_CLIENTS,
+                new EmptyIntake());
+        InetSocketAddress address = frontend.listen();
+        CountDownLatch connected = new CountDownLatch(1);
+        blockLoop(loop, connected);
+        for (int i = 0; i < 200; i++) {
+            sockets.add(new Socket(address.getAddress(), address.getPort()));
+        }
+        connected.countDown();
+        Socket last = sockets.get(199);
+        Stub.write(last, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
+        assertEquals("HTTP/1.1 200 OK", Stub.read(new BufferedInputStream(last.getInputStream()), 0).line());
+        int clients = loop.submit(frontend::openConnections).get();
+        assertTrue(clients <= MAX_CLIENTS, "connections: " + clients);
+    }
+
+    /**
+     * Incident r0b62c9: while one sender was unavailable, hundreds of health checks per second evicted the connections of clients
+     * that submit messages.
+     */
+    @Test
+    void connectionsForHealthChecksAreEvictedBeforeThoseOfSubmitters() throws Exception {
+        RecordingIntake intake = new RecordingIntake();
+        HttpFrontend frontend = new HttpFrontend(group.next(), new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                MAX_CLIENTS, intake);
+        InetSocketAddress address = frontend.listen();
+        Socket submitter = new Socket(address.getAddress(), address.getPort());
+        sockets.add(submitter);
+        submit(submitter, "first");
+        BufferedInputStream in = new BufferedInputStream(submitter.getInputStream());
+        assertEquals("HTTP/1.1 503 Service Unavailable", Stub.read(in, 0).line());
+        for (int i = 0; i < 5 * MAX_CLIENTS; i++) {
+            Socket healthCheck = new Socket(address.getAddress(), address.getPort());
+            sockets.add(healthCheck);
+            Stub.write(healthCheck, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
+            assertEquals("HTTP/1.1 200 OK", Stub.read(new BufferedInputStream(healthCheck.getInputStream()), 0).line());
+        }
+        submit(submitter, "second");
+        assertEquals("HTTP/1.1 503 Service Unavailable", Stub.read(in, 0).line());
+        assertEquals(List.of("first", "second"), intake.submittedIds);
+    }
+
+    /** Incident r0b62c9: clients that sent one request and kept their connection left no connections for other submissions. */
+    @Test
+    void theLongestIdleConnectionIsClosedWhenTooManyAreIdle() throws Exception {
+        EventLoop loop = group.next();
+        RecordingIntake intake = new RecordingIntake();
+        HttpFrontend frontend = new HttpFrontend(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MAX_CLIENTS,
+                intake);
+        InetSocketAddress address = frontend.listen();
+        for (int i = 0; i < 3 * MAX_CLIENTS; i++) {
+            Socket client = new Socket(address.getAddress(), address.getPort());
+            sockets.add(client);
+            submit(client, "id-" + i);
+            assertEquals("HTTP/1.1 503 Service Unavailable",
+                    Stub.read(new BufferedInputStream(client.getInputStream()), 0).line());
+        }
+        assertEquals(-1, sockets.get(0).getInputStream().read(), "the first one has been idle longest");
+        int clients = loop.submit(frontend::openConnections).get();
+        assertTrue(clients <= MAX_CLIENTS / 2, "connections: " + clients);
+        submit(sockets.get(3 * MAX_CLIENTS - 1), "again");
+        assertEquals("HTTP/1.1 503 Service Unavailable",
+                Stub.read(new BufferedInputStream(sockets.get(3 * MAX_CLIENTS - 1).getInputStream()), 0).line());
+    }
+}
