--- a/src/main/java/slipfield/amqp/AmqpConfig.java
+++ b/src/main/java/slipfield/amqp/AmqpConfig.java
@@ -39,7 +39,7 @@
     private static final int KNOWN_IDS = 65_536;
 
     /** Names that the sender's configuration knows: what the file names must be among them. */
-    public record Known(List<String> classes, List<String> tenants, List<String> kinds, List<String> zones) {
+    public record KnownNames(List<String> classes, List<String> tenants, List<String> kinds, List<String> zones) {
     }
 
     /** Certificate and key, as PEM; {@code clients}: whose certificates name users. */
@@ -112,11 +112,11 @@
     }
 
     /** Reads it; an error names file, line, column and mend. */
-    public static AmqpConfig read(Path path, Known known) throws IOException, BadInput {
+    public static AmqpConfig read(Path path, KnownNames known) throws IOException, BadInput {
         return read(SettingsFile.read(path), known);
     }
 
-    static AmqpConfig read(Section file, Known known) throws IOException, BadInput {
+    static AmqpConfig read(Section file, KnownNames known) throws IOException, BadInput {
         file.allowOnly("listen", "tls", "virtual_hosts", "users", "exchanges", "queues", "limits", "unconfirmed",
                 "outbound", "inbound");
         Optional<Tls> tls = Optional.empty();
@@ -159,7 +159,7 @@
                 inbound(file, known, routes));
     }
 
-    private static List<Outbound> outbound(Section file, Known known) throws IOException, BadInput {
+    private static List<Outbound> outbound(Section file, KnownNames known) throws IOException, BadInput {
         List<Outbound> all = new ArrayList<>();
         for (Section o : file.sections("outbound")) {
             o.allowOnly("name", "address", "virtual_host", "user", "password_file", "tls", "exchange", "key", "destination",
@@ -172,7 +172,7 @@
         return all;
     }
 
-    private static List<Inbound> inbound(Section file, Known known, RoutingTable routes) throws IOException, BadInput {
+    private static List<Inbound> inbound(Section file, KnownNames known, RoutingTable routes) throws IOException, BadInput {
         List<Inbound> all = new ArrayList<>();
         for (Section i : file.sections("inbound")) {
             i.allowOnly("name", "address", "virtual_host", "user", "password_file", "tls", "queue", "exchange", "tenant",
@@ -221,7 +221,7 @@
         return new Broker(name, b.address("address"), b.text("virtual_host", "/"), b.text("user", ""), password, tls);
     }
 
-    private static List<RoutingTable.Route> routes(Section exchange, Known known) throws BadInput {
+    private static List<RoutingTable.Route> routes(Section exchange, KnownNames known) throws BadInput {
         List<RoutingTable.Route> routes = new ArrayList<>();
         for (Section r : exchange.sections("routes")) {
             r.allowOnly("key", "class", "destination", "destination_word");
@@ -246,7 +246,7 @@
         return names.isEmpty() ? s.text(key, "") : s.oneOf(key, otherwise, Set.copyOf(names));
     }
 
-    private static User user(Section u, Known known, RoutingTable routes, Map<String, Queue> queues) throws BadInput {
+    private static User user(Section u, KnownNames known, RoutingTable routes, Map<String, Queue> queues) throws BadInput {
         u.allowOnly("name", "secret", "tenant", "publish", "consume");
         Optional<Secret> secret = Optional.empty();
         if (u.has("secret")) {
--- a/src/main/java/slipfield/amqp/Consuming.java
+++ b/src/main/java/slipfield/amqp/ConsumerHandler.java
@@ -1,19 +1,19 @@
 package slipfield.amqp;
 
 /** Has messages for those that take deliveries. On the loop's thread. */
-public interface Consuming {
+public interface ConsumerHandler {
     /** Whether this consumer may come: not beside an exclusive one, and under each name once. */
-    boolean mayCome(Receiver receiver, boolean exclusive);
+    boolean canAdd(Receiver receiver, boolean exclusive);
 
     /** A consumer came. */
-    void came(Receiver receiver, boolean exclusive);
+    void consumerAdded(Receiver receiver, boolean exclusive);
 
     /** A consumer was cancelled, or its channel is gone; what it has out is settled or lost by itself. */
-    void left(Receiver receiver);
+    void consumerRemoved(Receiver receiver);
 
     /** A consumer has room again. */
-    void room(Receiver receiver);
+    void capacityFreed(Receiver receiver);
 
     /** How many consume a queue. */
-    int consumers(String queue);
+    int consumerCount(String queue);
 }
--- a/src/main/java/slipfield/amqp/Contents.java
+++ b/src/main/java/slipfield/amqp/ContentReader.java
@@ -10,7 +10,7 @@
 import slipfield.amqp.decide.ContentAssembler;
 
 /** A channel's contents, put together from their frames: method, header, body. */
-public final class Contents {
+public final class ContentReader {
     private final long mostBody;
     private final ContentAssembler assembly;
     private Method method;
@@ -19,7 +19,7 @@
     private int filled;
 
     /** {@code mostBody}: octets of a body at most. */
-    public Contents(long mostBody) {
+    public ContentReader(long mostBody) {
         this.mostBody = mostBody;
         this.assembly = new ContentAssembler(mostBody);
     }
--- a/src/main/java/slipfield/amqp/Publisher.java
+++ b/src/main/java/slipfield/amqp/Publisher.java
@@ -9,10 +9,10 @@
     String peer();
 
     /** Gives a message back with {@code basic.return}, and these headers besides its own. */
-    void giveBack(Publication publication, ReplyCode code, String text, Map<String, Object> headers);
+    void returnMessage(Publication publication, ReplyCode code, String text, Map<String, Object> headers);
 
     /** A message has its final answer; its confirm goes out with the next {@link #flush}. */
-    void end(Publication publication, boolean ack);
+    void confirm(Publication publication, boolean ack);
 
     /** Sends the confirms that are due. */
     void flush();
--- a/src/main/java/slipfield/amqp/Receiver.java
+++ b/src/main/java/slipfield/amqp/Receiver.java
@@ -6,7 +6,7 @@
 /** What takes deliveries: a consumer of a queue here, or a broker elsewhere. On the loop's thread. */
 public interface Receiver {
     /** How a delivery was settled. */
-    enum How {
+    enum Settlement {
         /** It is done. */
         ACKED,
         /** Given back unseen. */
@@ -18,9 +18,9 @@
     }
 
     /** Hears of a delivery's settlement, once. */
-    interface Delivered {
+    interface SettlementListener {
         /** It was settled; {@code waitMs}: of one given back, the time to come back after, or 0. */
-        void settled(How how, long waitMs);
+        void settled(Settlement how, long waitMs);
     }
 
     /** Its endpoint's name. */
@@ -33,11 +33,11 @@
     int priority();
 
     /** How many deliveries it may have out at once. */
-    int slots();
+    int maxInFlight();
 
     /** Whether it may have one more, and reads what it is sent. */
-    boolean room();
+    boolean hasCapacity();
 
     /** Sends a message to it, which must have room; the future tells when the last octet is out. */
-    ChannelFuture deliver(Properties properties, byte[] body, boolean redelivered, Delivered then);
+    ChannelFuture deliver(Properties properties, byte[] body, boolean redelivered, SettlementListener then);
 }
--- a/src/main/java/slipfield/amqp/client/Source.java
+++ b/src/main/java/slipfield/amqp/client/BrokerConsumer.java
@@ -9,7 +9,7 @@
 import slipfield.amqp.AmqpConfig;
 import slipfield.amqp.Publication;
 import slipfield.amqp.Publisher;
-import slipfield.amqp.Publishing;
+import slipfield.amqp.PublishHandler;
 import slipfield.amqp.ReturnHeaders;
 import slipfield.amqp.codec.Method;
 import slipfield.amqp.codec.MethodId;
@@ -22,21 +22,21 @@
  * its end. A refused one goes back to the queue after the wait that was told, a failed one is rejected: to the broker's dead
  * letters, where it has any. What was unsettled when the link fell comes again, under the id that is known here.
  */
-public final class Source implements BrokerLink.Listener {
+public final class BrokerConsumer implements BrokerLink.Listener {
     /** A refusal that tells no wait is not given back at once, to be delivered and refused again in the same moment. */
     private static final long LEAST_WAIT_MS = 250;
 
     private final EventLoop loop;
     private final AmqpConfig.Inbound config;
-    private final Publishing publishing;
+    private final PublishHandler publishing;
     private final String epoch;
     private final BrokerLink link;
     private Life life;
     private int lives;
 
     /** Will consume there, and hand in at this front; {@code epoch}: another in each life of the sender. */
-    public Source(EventLoop loop, AmqpConfig.Inbound config, Optional<SslContext> tls, AmqpConfig.Limits limits, String epoch,
-            Publishing publishing) {
+    public BrokerConsumer(EventLoop loop, AmqpConfig.Inbound config, Optional<SslContext> tls, AmqpConfig.Limits limits,
+            String epoch, PublishHandler publishing) {
         this.loop = loop;
         this.config = config;
         this.publishing = publishing;
@@ -50,9 +50,9 @@
     }
 
     /** Takes no more; what is unsettled is settled still, and then the connection is closed. */
-    public void end() {
+    public void close() {
         if (life == null) {
-            link.end();
+            link.close();
         } else {
             life.ending = true;
             link.send(MethodId.BASIC_CANCEL, config.broker().name(), true);
@@ -91,8 +91,8 @@
 
     /** What came together goes into the journal in one write. */
     @Override
-    public void turned() {
-        publishing.turned();
+    public void readComplete() {
+        publishing.batchEnded();
     }
 
     @Override
@@ -100,7 +100,7 @@
         Life over = life;
         life = null;
         over.gone = true;
-        publishing.left(over);
+        publishing.publisherClosed(over);
     }
 
     @Override
@@ -126,14 +126,14 @@
         }
 
         @Override
-        public void giveBack(Publication p, ReplyCode code, String text, Map<String, Object> headers) {
+        public void returnMessage(Publication p, ReplyCode code, String text, Map<String, Object> headers) {
             if (ReturnHeaders.isRefused(headers)) {
                 refused.put(p.tag(), Math.max(LEAST_WAIT_MS, ReturnHeaders.waitMs(headers)));
             }
         }
 
         @Override
-        public void end(Publication p, boolean ack) {
+        public void confirm(Publication p, boolean ack) {
             Long waitMs = refused.remove(p.tag());
             if (ack) {
                 settle(MethodId.BASIC_ACK, p.tag(), false);
@@ -154,7 +154,7 @@
 
         private void endIfIdle() {
             if (ending && out == 0) {
-                link.end();
+                link.close();
             }
         }
 
--- a/src/main/java/slipfield/amqp/client/BrokerLink.java
+++ b/src/main/java/slipfield/amqp/client/BrokerLink.java
@@ -16,7 +16,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import slipfield.amqp.AmqpConfig;
-import slipfield.amqp.Contents;
+import slipfield.amqp.ContentReader;
 import slipfield.amqp.codec.AmqpError;
 import slipfield.amqp.codec.Frame;
 import slipfield.amqp.codec.FrameDecoder;
@@ -59,7 +59,7 @@
         void content(Method method, Properties properties, byte[] body);
 
         /** What came in one piece has been told; more comes in a later turn of the loop. */
-        default void turned() {
+        default void readComplete() {
         }
 
         /** It is down, after it was {@link #opened}. */
@@ -127,7 +127,7 @@
     }
 
     /** Closes it for good. */
-    public void end() {
+    public void close() {
         ended = true;
         if (channel != null) {
             channel.close();
@@ -163,7 +163,7 @@
     private final class Life extends ChannelInboundHandlerAdapter {
         private final FrameDecoder decoder;
         private final FrameEncoder encoder;
-        private final Contents contents = new Contents(mostBody);
+        private final ContentReader contents = new ContentReader(mostBody);
         private HeartbeatMonitor liveness = new HeartbeatMonitor(0, 0);
         private Future<?> beats;
         private Future<?> inTime;
@@ -225,7 +225,7 @@
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
             if (open) {
-                listener.turned();
+                listener.readComplete();
             }
             ctx.fireChannelReadComplete();
         }
--- a/src/main/java/slipfield/amqp/client/Brokers.java
+++ b/src/main/java/slipfield/amqp/client/BrokerLinks.java
@@ -8,24 +8,24 @@
 import java.util.List;
 import java.util.Optional;
 import slipfield.amqp.AmqpConfig;
-import slipfield.amqp.Consuming;
-import slipfield.amqp.Publishing;
+import slipfield.amqp.ConsumerHandler;
+import slipfield.amqp.PublishHandler;
 
 /** All brokers elsewhere that the operator's file names. */
-public final class Brokers {
+public final class BrokerLinks {
     private final EventLoop loop;
-    private final List<Target> targets = new ArrayList<>();
-    private final List<Source> sources = new ArrayList<>();
+    private final List<BrokerPublisher> targets = new ArrayList<>();
+    private final List<BrokerConsumer> sources = new ArrayList<>();
 
     /** Will publish to targets for one, and hand in what sources deliver at the other. */
-    public Brokers(EventLoop loop, AmqpConfig config, String epoch, Consuming consuming, Publishing publishing)
+    public BrokerLinks(EventLoop loop, AmqpConfig config, String epoch, ConsumerHandler consuming, PublishHandler publishing)
             throws IOException {
         this.loop = loop;
         for (AmqpConfig.Outbound out : config.outbound()) {
-            targets.add(new Target(loop, out, context(out.broker()), config.limits(), consuming));
+            targets.add(new BrokerPublisher(loop, out, context(out.broker()), config.limits(), consuming));
         }
         for (AmqpConfig.Inbound in : config.inbound()) {
-            sources.add(new Source(loop, in, context(in.broker()), config.limits(), epoch, publishing));
+            sources.add(new BrokerConsumer(loop, in, context(in.broker()), config.limits(), epoch, publishing));
         }
     }
 
@@ -44,13 +44,13 @@
     /** Connects to all, and again whenever one is down. */
     public void dial() {
         loop.execute(() -> {
-            targets.forEach(Target::dial);
-            sources.forEach(Source::dial);
+            targets.forEach(BrokerPublisher::dial);
+            sources.forEach(BrokerConsumer::dial);
         });
     }
 
     /** Takes nothing more from sources; what is out to targets ends, or is lost with the process. */
     public void close() {
-        sources.forEach(Source::end);
+        sources.forEach(BrokerConsumer::close);
     }
 }
--- a/src/main/java/slipfield/amqp/client/Target.java
+++ b/src/main/java/slipfield/amqp/client/BrokerPublisher.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Optional;
 import slipfield.amqp.AmqpConfig;
-import slipfield.amqp.Consuming;
+import slipfield.amqp.ConsumerHandler;
 import slipfield.amqp.Receiver;
 import slipfield.amqp.ReturnHeaders;
 import slipfield.amqp.codec.Frame;
@@ -23,23 +23,23 @@
  * the broker returns as {@code refused} it has not run; what it returns in other words it has not routed anywhere. A nack
  * without a return says nothing of whether it ran.
  */
-public final class Target implements Receiver, BrokerLink.Listener {
+public final class BrokerPublisher implements Receiver, BrokerLink.Listener {
     private static final String ONLY = "";
 
     private final AmqpConfig.Outbound config;
-    private final Consuming consuming;
+    private final ConsumerHandler consuming;
     private final BrokerLink link;
-    private UnackedDeliveries<Delivered> out;
+    private UnackedDeliveries<SettlementListener> out;
     /** What was returned and not yet confirmed, by message id; how, and the wait that was told. */
     private final Map<String, Returned> returned = new HashMap<>();
     private final Map<Long, String> ids = new HashMap<>();
 
-    private record Returned(How how, long waitMs) {
+    private record Returned(Settlement how, long waitMs) {
     }
 
     /** Will publish there, and say here whether it can. */
-    public Target(EventLoop loop, AmqpConfig.Outbound config, Optional<SslContext> tls, AmqpConfig.Limits limits,
-            Consuming consuming) {
+    public BrokerPublisher(EventLoop loop, AmqpConfig.Outbound config, Optional<SslContext> tls, AmqpConfig.Limits limits,
+            ConsumerHandler consuming) {
         this.config = config;
         this.consuming = consuming;
         this.link = new BrokerLink(loop, config.broker(), tls, limits.tuning(), limits.bodyOctets(), this);
@@ -68,17 +68,17 @@
     }
 
     @Override
-    public int slots() {
+    public int maxInFlight() {
         return config.inFlight();
     }
 
     @Override
-    public boolean room() {
+    public boolean hasCapacity() {
         return link.writable() && out != null && out.canDeliver(ONLY);
     }
 
     @Override
-    public ChannelFuture deliver(Properties properties, byte[] body, boolean redelivered, Delivered then) {
+    public ChannelFuture deliver(Properties properties, byte[] body, boolean redelivered, SettlementListener then) {
         long tag = out.deliver(ONLY, then, 0);
         ids.put(tag, properties.text(Properties.Property.MESSAGE_ID));
         return link.send(new Frame.Content(BrokerLink.CHANNEL, Method.of(MethodId.BASIC_PUBLISH, 0, config.exchange(),
@@ -100,14 +100,14 @@
                 out = new UnackedDeliveries<>(config.inFlight());
                 out.addConsumer(ONLY);
                 Log.info("amqp.broker_open", "broker", config.broker().name());
-                consuming.came(this, false);
+                consuming.consumerAdded(this, false);
             }
             case BASIC_ACK -> confirmed(m, true);
             case BASIC_NACK -> confirmed(m, false);
             case CHANNEL_FLOW -> {
                 out.flow(m.flag("active"));
                 link.send(MethodId.CHANNEL_FLOW_OK, m.flag("active"));
-                consuming.room(this);
+                consuming.capacityFreed(this);
             }
             default -> link.fail(m.id() + " came, which nobody asked for");
         }
@@ -118,40 +118,40 @@
         if (m.id() == MethodId.BASIC_RETURN) {
             Map<String, Object> headers = properties.headers();
             returned.put(properties.text(Properties.Property.MESSAGE_ID), new Returned(ReturnHeaders.isFailed(headers)
-                    ? How.REJECTED : How.REQUEUED, ReturnHeaders.waitMs(headers)));
+                    ? Settlement.REJECTED : Settlement.REQUEUED, ReturnHeaders.waitMs(headers)));
         }
     }
 
     private void confirmed(Method m, boolean ack) {
-        Optional<List<UnackedDeliveries.Delivery<Delivered>>> settled = out == null ? Optional.empty()
+        Optional<List<UnackedDeliveries.Delivery<SettlementListener>>> settled = out == null ? Optional.empty()
                 : out.settle(m.number("delivery-tag"), m.flag("multiple"));
         if (settled.isEmpty()) {
             link.fail("a confirm for nothing that is out");
             return;
         }
-        for (UnackedDeliveries.Delivery<Delivered> one : settled.get()) {
+        for (UnackedDeliveries.Delivery<SettlementListener> one : settled.get()) {
             // A broker that can't route a message returns it and confirms it all the same.
             Returned back = returned.remove(ids.remove(one.tag()));
-            How how = back != null ? back.how : ack ? How.ACKED : How.REJECTED;
+            Settlement how = back != null ? back.how : ack ? Settlement.ACKED : Settlement.REJECTED;
             one.payload().settled(how, back == null ? 0 : back.waitMs);
         }
-        consuming.room(this);
+        consuming.capacityFreed(this);
     }
 
     @Override
     public void writable() {
-        consuming.room(this);
+        consuming.capacityFreed(this);
     }
 
     @Override
     public void lost() {
         if (out != null) {
-            UnackedDeliveries<Delivered> lost = out;
+            UnackedDeliveries<SettlementListener> lost = out;
             out = null;
             ids.clear();
             returned.clear();
-            consuming.left(this);
-            lost.settle(0, true).orElseThrow().forEach(one -> one.payload().settled(How.LOST, 0));
+            consuming.consumerRemoved(this);
+            lost.settle(0, true).orElseThrow().forEach(one -> one.payload().settled(Settlement.LOST, 0));
         }
     }
 }
--- a/src/main/java/slipfield/amqp/codec/FieldTables.java
+++ b/src/main/java/slipfield/amqp/codec/FieldTables.java
@@ -13,7 +13,7 @@
     public static Map<String, Object> read(byte[] fields) throws AmqpError {
         ByteBuf whole = Unpooled.buffer(4 + fields.length).writeInt(fields.length).writeBytes(fields);
         @SuppressWarnings("unchecked")
-        Map<String, Object> table = (Map<String, Object>) Values.read(whole, Domain.TABLE);
+        Map<String, Object> table = (Map<String, Object>) ValueCodec.read(whole, Domain.TABLE);
         return table;
     }
 }
--- a/src/main/java/slipfield/amqp/codec/FrameDecoder.java
+++ b/src/main/java/slipfield/amqp/codec/FrameDecoder.java
@@ -18,13 +18,13 @@
     static final int BODY = 3;
     static final int HEARTBEAT = 8;
     /** No connection may be told less: specification 4.2.3. */
-    public static final int LEAST_FRAME_MAX = 4096;
+    public static final int MIN_FRAME_MAX = 4096;
     private static final int BASIC = 60;
     private static final byte[] PROTOCOL = {'A', 'M', 'Q', 'P', 0, 0, 9, 1};
 
     private boolean awaitsProtocol;
     private boolean spoilt;
-    private int frameMax = LEAST_FRAME_MAX;
+    private int frameMax = MIN_FRAME_MAX;
 
     /** {@code server}: the eight octets of the protocol come first. */
     public FrameDecoder(boolean server) {
--- a/src/main/java/slipfield/amqp/codec/FrameEncoder.java
+++ b/src/main/java/slipfield/amqp/codec/FrameEncoder.java
@@ -13,7 +13,7 @@
     private static final int SMALL = 256;
     private static final byte[] PROTOCOL = {'A', 'M', 'Q', 'P', 0, 0, 9, 1};
 
-    private int frameMax = FrameDecoder.LEAST_FRAME_MAX;
+    private int frameMax = FrameDecoder.MIN_FRAME_MAX;
 
     /** From now on a frame has so many octets at most, all counted. */
     public void frameMax(int octets) {
--- a/src/main/java/slipfield/amqp/codec/Method.java
+++ b/src/main/java/slipfield/amqp/codec/Method.java
@@ -82,13 +82,13 @@
         for (int i = 0; i < domains.length; i++) {
             if (domains[i] == Domain.BIT) {
                 if (held == 0) {
-                    bits = Values.octet(in);
+                    bits = ValueCodec.octet(in);
                 }
                 values[i] = (bits >> held & 1) == 1;
                 held = held == 7 ? 0 : held + 1;
             } else {
                 held = 0;
-                values[i] = Values.read(in, domains[i]);
+                values[i] = ValueCodec.read(in, domains[i]);
             }
         }
         if (in.isReadable()) {
@@ -111,7 +111,7 @@
                     held = 0;
                 }
             } else {
-                Values.write(out, domains[i], values[i]);
+                ValueCodec.write(out, domains[i], values[i]);
             }
         }
     }
--- a/src/main/java/slipfield/amqp/codec/Properties.java
+++ b/src/main/java/slipfield/amqp/codec/Properties.java
@@ -82,7 +82,7 @@
         Map<Property, Object> set = new EnumMap<>(Property.class);
         for (Property property : Property.values()) {
             if ((flags & property.flag()) != 0) {
-                set.put(property, Values.read(in, property.domain));
+                set.put(property, ValueCodec.read(in, property.domain));
             }
         }
         return new Properties(set);
@@ -95,7 +95,7 @@
         }
         out.writeShort(flags);
         // An EnumMap goes by the order of its keys, which is that of the flags.
-        set.forEach((property, value) -> Values.write(out, property.domain, value));
+        set.forEach((property, value) -> ValueCodec.write(out, property.domain, value));
     }
 
     @Override
--- a/src/main/java/slipfield/amqp/codec/Values.java
+++ b/src/main/java/slipfield/amqp/codec/ValueCodec.java
@@ -16,12 +16,12 @@
  * clients use, which differ from the specification's where that was never followed ({@code s} is a short, {@code l} a
  * long with a sign).
  */
-final class Values {
+final class ValueCodec {
     /** Tables and arrays in one another. Guards against a frame that would use up the stack. */
     private static final int DEEPEST = 16;
     private static final int LONGEST_SHORTSTR = 255;
 
-    private Values() {
+    private ValueCodec() {
     }
 
     static Object read(ByteBuf in, Domain domain) throws AmqpError {
--- a/src/main/java/slipfield/amqp/server/AmqpServer.java
+++ b/src/main/java/slipfield/amqp/server/AmqpServer.java
@@ -24,8 +24,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import slipfield.amqp.AmqpConfig;
-import slipfield.amqp.Consuming;
-import slipfield.amqp.Publishing;
+import slipfield.amqp.ConsumerHandler;
+import slipfield.amqp.PublishHandler;
 import slipfield.amqp.codec.FrameDecoder;
 import slipfield.amqp.codec.FrameEncoder;
 import slipfield.amqp.decide.Backpressure;
@@ -53,12 +53,12 @@
     private final AmqpConfig config;
     private final String epoch;
     private final Backpressure pressure;
-    private final Logins logins;
+    private final Authenticator logins;
     private final Map<Integer, ServerConnection> connections = new LinkedHashMap<>();
     private final Deque<ServerConnection> pending = new ArrayDeque<>();
     private final List<Channel> listeners = new ArrayList<>();
-    private Publishing publishing;
-    private Consuming consuming;
+    private PublishHandler publishing;
+    private ConsumerHandler consuming;
     private final Deque<ServerConnection> toSweep = new ArrayDeque<>();
     private int sweepAtOnce;
     /** Absent until it listens. */
@@ -80,14 +80,14 @@
     /** Secrets are checked there. */
     AmqpServer(EventLoop loop, AmqpConfig config, String epoch, Executor checks) {
         this.loop = loop;
-        this.logins = new Logins(loop, config.users(), checks);
+        this.logins = new Authenticator(loop, config.users(), checks);
         this.config = config;
         this.epoch = epoch;
         this.pressure = new Backpressure(config.limits().each(), config.limits().all());
     }
 
     /** Who takes what is published, and who has messages for consumers. */
-    public void over(Publishing front, Consuming transport) {
+    public void setHandlers(PublishHandler front, ConsumerHandler transport) {
         publishing = front;
         consuming = transport;
     }
@@ -164,7 +164,7 @@
     }
 
     /** Connections with something out, and those that are being closed. */
-    public int busy() {
+    public int connectionCount() {
         return connections.size();
     }
 
@@ -195,7 +195,7 @@
                 pending.addLast(first);
             }
         }
-        publishing.turned();
+        publishing.batchEnded();
         taking = !pending.isEmpty();
         if (taking) {
             // Not at once: the sockets are looked at in between, for the list and for answers.
@@ -228,7 +228,7 @@
         }
     }
 
-    Logins logins() {
+    Authenticator logins() {
         return logins;
     }
 
@@ -248,11 +248,11 @@
         return pressure;
     }
 
-    Publishing publishing() {
+    PublishHandler publishing() {
         return publishing;
     }
 
-    Consuming consuming() {
+    ConsumerHandler consuming() {
         return consuming;
     }
 
--- a/src/main/java/slipfield/amqp/server/Logins.java
+++ b/src/main/java/slipfield/amqp/server/Authenticator.java
@@ -27,7 +27,7 @@
  * life: its MAC under a key of this process stands for it from then on, and equal tries at one time share one check. Else a
  * thousand connections of one user, come back after a restart, would take half a minute and mostly be turned away.
  */
-final class Logins {
+final class Authenticator {
     private static final int CHECKS_AT_ONCE = 1;
     private static final int CHECKS_WAITING = 64;
     private static final int KEY = 32;
@@ -39,7 +39,7 @@
         TURNED_AWAY
     }
 
-    private record Try(AmqpConfig.User user, Login login, List<Consumer<Answer>> waiting) {
+    private record Try(AmqpConfig.User user, Credentials login, List<Consumer<Answer>> waiting) {
     }
 
     private final EventLoop loop;
@@ -53,7 +53,7 @@
     private final Map<String, Try> tries = new HashMap<>();
     private final Deque<Runnable> waiting = new ArrayDeque<>();
 
-    Logins(EventLoop loop, Map<String, AmqpConfig.User> users, Executor checks) {
+    Authenticator(EventLoop loop, Map<String, AmqpConfig.User> users, Executor checks) {
         this.loop = loop;
         this.users = users;
         this.checks = checks;
@@ -68,7 +68,7 @@
     }
 
     /** Checks a login; {@code then} is told on the loop, of a wrong one only after a while. */
-    void login(Login login, Consumer<Answer> then) {
+    void login(Credentials login, Consumer<Answer> then) {
         AmqpConfig.User user = users.get(login.name());
         if (login.password().isEmpty()) {
             then.accept(user == null ? Answer.WRONG : Answer.RIGHT);
--- a/src/main/java/slipfield/amqp/server/Login.java
+++ b/src/main/java/slipfield/amqp/server/Credentials.java
@@ -22,26 +22,26 @@
  *
  * @param password absent: the certificate is proof
  */
-record Login(String name, Optional<String> password) {
+record Credentials(String name, Optional<String> password) {
     static final String MECHANISMS = "PLAIN AMQPLAIN";
     static final String EXTERNAL = "EXTERNAL";
 
-    static Login read(String mechanism, byte[] response, ChannelHandlerContext ctx) throws AmqpError {
+    static Credentials read(String mechanism, byte[] response, ChannelHandlerContext ctx) throws AmqpError {
         switch (mechanism) {
             case "PLAIN":
                 String[] parts = new String(response, StandardCharsets.UTF_8).split("\0", -1);
                 if (parts.length != 3) {
                     throw refused("a PLAIN response is identity, name and password with a zero octet between");
                 }
-                return new Login(parts[1], Optional.of(parts[2]));
+                return new Credentials(parts[1], Optional.of(parts[2]));
             case "AMQPLAIN":
                 Map<String, Object> fields = FieldTables.read(response);
                 if (!(fields.get("LOGIN") instanceof String name) || !(fields.get("PASSWORD") instanceof String password)) {
                     throw refused("an AMQPLAIN response is a table of LOGIN and PASSWORD");
                 }
-                return new Login(name, Optional.of(password));
+                return new Credentials(name, Optional.of(password));
             case EXTERNAL:
-                return new Login(certified(ctx), Optional.empty());
+                return new Credentials(certified(ctx), Optional.empty());
             default:
                 throw refused("no mechanism '" + mechanism + "'; use PLAIN, AMQPLAIN or EXTERNAL");
         }
--- a/src/main/java/slipfield/amqp/server/ServerChannel.java
+++ b/src/main/java/slipfield/amqp/server/ServerChannel.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import java.util.Set;
 import slipfield.amqp.AmqpConfig;
-import slipfield.amqp.Contents;
+import slipfield.amqp.ContentReader;
 import slipfield.amqp.Publication;
 import slipfield.amqp.Publisher;
 import slipfield.amqp.Receiver;
@@ -28,10 +28,10 @@
 final class ServerChannel implements Publisher {
     private final ServerConnection connection;
     private final int number;
-    private final UnackedDeliveries<Receiver.Delivered> deliveries;
+    private final UnackedDeliveries<Receiver.SettlementListener> deliveries;
     private final Map<String, Subscription> subscriptions = new HashMap<>();
     private final PublisherConfirms confirms = new PublisherConfirms();
-    private final Contents contents;
+    private final ContentReader contents;
     private final AmqpConfig config;
     /** Published and without an end, outside confirm mode too. */
     private final Set<Publication> open = Collections.newSetFromMap(new IdentityHashMap<>());
@@ -47,7 +47,7 @@
         this.number = number;
         this.config = connection.server().config();
         this.deliveries = new UnackedDeliveries<>(config.limits().prefetch());
-        this.contents = new Contents(config.limits().bodyOctets());
+        this.contents = new ContentReader(config.limits().bodyOctets());
     }
 
     int number() {
@@ -58,7 +58,7 @@
         return connection.user();
     }
 
-    UnackedDeliveries<Receiver.Delivered> deliveries() {
+    UnackedDeliveries<Receiver.SettlementListener> deliveries() {
         return deliveries;
     }
 
@@ -176,7 +176,7 @@
                 readable(method.text("queue"), id);
                 answer(MethodId.BASIC_GET_EMPTY, "");
             }
-            case BASIC_ACK -> settled(method, method.flag("multiple"), Receiver.How.ACKED);
+            case BASIC_ACK -> settled(method, method.flag("multiple"), Receiver.Settlement.ACKED);
             case BASIC_NACK -> settled(method, method.flag("multiple"), requeued(method));
             case BASIC_REJECT -> settled(method, false, requeued(method));
             case BASIC_RECOVER, BASIC_RECOVER_ASYNC -> throw new AmqpError(ReplyCode.NOT_IMPLEMENTED,
@@ -197,8 +197,8 @@
         }
     }
 
-    private static Receiver.How requeued(Method method) {
-        return method.flag("requeue") ? Receiver.How.REQUEUED : Receiver.How.REJECTED;
+    private static Receiver.Settlement requeued(Method method) {
+        return method.flag("requeue") ? Receiver.Settlement.REQUEUED : Receiver.Settlement.REJECTED;
     }
 
     private void declare(Method m) throws AmqpError {
@@ -221,7 +221,7 @@
         }
         if (!m.flag("no-wait")) {
             answer(MethodId.QUEUE_DECLARE_OK, queue.name(), 0L,
-                    (long) connection.server().consuming().consumers(queue.name()));
+                    (long) connection.server().consuming().consumerCount(queue.name()));
         }
     }
 
@@ -277,7 +277,7 @@
             throw new AmqpError(ReplyCode.NOT_ALLOWED, "consumer tag '" + tag + "' is in use on this channel", m.id());
         }
         Subscription subscription = new Subscription(this, queue, tag, m.table("arguments"));
-        if (!connection.server().consuming().mayCome(subscription, m.flag("exclusive"))) {
+        if (!connection.server().consuming().canAdd(subscription, m.flag("exclusive"))) {
             throw new AmqpError(ReplyCode.ACCESS_REFUSED, "queue '" + queue.name() + "' has an exclusive consumer, or one "
                     + "of this name; use another consumer tag", m.id());
         }
@@ -286,19 +286,19 @@
         if (!m.flag("no-wait")) {
             answer(MethodId.BASIC_CONSUME_OK, tag);
         }
-        connection.server().consuming().came(subscription, m.flag("exclusive"));
+        connection.server().consuming().consumerAdded(subscription, m.flag("exclusive"));
     }
 
     private void cancel(String tag) {
         Subscription left = subscriptions.remove(tag);
         if (left != null) {
             deliveries.removeConsumer(tag);
-            connection.server().consuming().left(left);
+            connection.server().consuming().consumerRemoved(left);
         }
     }
 
-    private void settled(Method m, boolean multiple, Receiver.How how) throws AmqpError {
-        Optional<List<UnackedDeliveries.Delivery<Receiver.Delivered>>> settled =
+    private void settled(Method m, boolean multiple, Receiver.Settlement how) throws AmqpError {
+        Optional<List<UnackedDeliveries.Delivery<Receiver.SettlementListener>>> settled =
                 deliveries.settle(m.number("delivery-tag"), multiple);
         if (settled.isEmpty()) {
             throw new AmqpError(ReplyCode.PRECONDITION_FAILED, "no delivery " + m.number("delivery-tag")
@@ -310,7 +310,7 @@
 
     /** Its consumers may have room again. */
     void room() {
-        subscriptions.values().forEach(connection.server().consuming()::room);
+        subscriptions.values().forEach(connection.server().consuming()::capacityFreed);
     }
 
     // ---- publishers ----
@@ -321,7 +321,7 @@
     }
 
     @Override
-    public void giveBack(Publication p, ReplyCode code, String text, Map<String, Object> headers) {
+    public void returnMessage(Publication p, ReplyCode code, String text, Map<String, Object> headers) {
         Map<String, Object> all = new HashMap<>(p.properties().headers());
         all.putAll(headers);
         send(new Frame.Content(number, Method.of(MethodId.BASIC_RETURN, code.number(), text, p.exchange(), p.routingKey()),
@@ -329,7 +329,7 @@
     }
 
     @Override
-    public void end(Publication publication, boolean ack) {
+    public void confirm(Publication publication, boolean ack) {
         if (open.remove(publication)) {
             if (publication.tag() > 0) {
                 confirms.settle(publication.tag(), ack);
@@ -381,12 +381,13 @@
         bodyEnded();
         List.copyOf(subscriptions.keySet()).forEach(this::cancel);
         // After its consumers: what is decided next must not go to one of them.
-        new ArrayList<>(deliveries.settle(0, true).orElseThrow()).forEach(one -> one.payload().settled(Receiver.How.LOST, 0));
+        new ArrayList<>(deliveries.settle(0, true).orElseThrow())
+                .forEach(one -> one.payload().settled(Receiver.Settlement.LOST, 0));
         for (Publication publication : open) {
             connection.server().pressure().addLoad(connection.id(), -1, -publication.body().length);
         }
         open.clear();
-        connection.server().publishing().left(this);
+        connection.server().publishing().publisherClosed(this);
         connection.server().relieved();
     }
 }
--- a/src/main/java/slipfield/amqp/server/ServerConnection.java
+++ b/src/main/java/slipfield/amqp/server/ServerConnection.java
@@ -199,7 +199,7 @@
                 "consumer_priorities", true);
         boolean certificates = server.config().tls().flatMap(AmqpConfig.Tls::clients).isPresent();
         send(0, MethodId.CONNECTION_START, 0, 9, Map.of("product", "slipfield", "capabilities", capabilities),
-                Login.MECHANISMS + (certificates ? " " + Login.EXTERNAL : ""), "en_US");
+                Credentials.MECHANISMS + (certificates ? " " + Credentials.EXTERNAL : ""), "en_US");
     }
 
     private void ofConnection(Method method) throws AmqpError {
@@ -230,7 +230,7 @@
     }
 
     private void login(Method startOk) throws AmqpError {
-        Login login = Login.read(startOk.text("mechanism"), startOk.octets("response"), ctx);
+        Credentials login = Credentials.read(startOk.text("mechanism"), startOk.octets("response"), ctx);
         blockable = startOk.table("client-properties").get("capabilities") instanceof Map<?, ?> c
                 && Boolean.TRUE.equals(c.get("connection.blocked"));
         state = State.LOGIN;
@@ -238,14 +238,14 @@
             if (state != State.LOGIN) {
                 return;
             }
-            if (answer == Logins.Answer.RIGHT) {
+            if (answer == Authenticator.Answer.RIGHT) {
                 user = server.config().users().get(login.name());
                 state = State.TUNE_OK;
                 Tuning offer = server.config().limits().tuning();
                 send(0, MethodId.CONNECTION_TUNE, offer.channelMax(), (long) offer.frameMax(),
                         (int) (offer.heartbeatMs() / 1000));
             } else {
-                fail(0, answer == Logins.Answer.WRONG
+                fail(0, answer == Authenticator.Answer.WRONG
                         ? new AmqpError(ReplyCode.ACCESS_REFUSED, "login refused for this name and secret",
                                 MethodId.CONNECTION_START_OK)
                         : new AmqpError(ReplyCode.RESOURCE_ERROR, "too many log in at once; connect again in a while",
--- a/src/main/java/slipfield/amqp/server/Subscription.java
+++ b/src/main/java/slipfield/amqp/server/Subscription.java
@@ -41,17 +41,17 @@
     }
 
     @Override
-    public int slots() {
+    public int maxInFlight() {
         return channel.deliveries().prefetchLimit(tag);
     }
 
     @Override
-    public boolean room() {
+    public boolean hasCapacity() {
         return channel.writable() && channel.deliveries().canDeliver(tag);
     }
 
     @Override
-    public ChannelFuture deliver(Properties properties, byte[] body, boolean redelivered, Delivered then) {
+    public ChannelFuture deliver(Properties properties, byte[] body, boolean redelivered, SettlementListener then) {
         long number = channel.deliveries().deliver(tag, then, channel.nowMs());
         Method method = Method.of(MethodId.BASIC_DELIVER, tag, number, redelivered, "", queue.name());
         return channel.send(new Frame.Content(channel.number(), method, properties, body));
--- a/src/main/java/slipfield/daemon/AmqpParts.java
+++ b/src/main/java/slipfield/daemon/AmqpParts.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import slipfield.amqp.AmqpConfig;
-import slipfield.amqp.client.Brokers;
+import slipfield.amqp.client.BrokerLinks;
 import slipfield.amqp.server.AmqpServer;
 import slipfield.amqp.server.ConnectionReport;
 import slipfield.config.BadInput;
@@ -18,16 +18,16 @@
 import slipfield.core.Frontend;
 import slipfield.core.MessageIntake;
 import slipfield.core.Transport;
-import slipfield.front.amqp.Publications;
+import slipfield.front.amqp.PublisherFrontend;
 import slipfield.journal.PendingAnswer;
 import slipfield.state.BackgroundJsonFile;
 import slipfield.work.Worker;
-import slipfield.transport.amqp.Queues;
+import slipfield.transport.amqp.ConsumerTransport;
 
 /** What AMQP adds to a sender. No class of it is loaded unless the operator's file is named. */
 final class AmqpParts {
     /** The outcome's and the directory's name. */
-    static final String NAME = Publications.NAME;
+    static final String NAME = PublisherFrontend.NAME;
 
     /** The file of what stands, in the state folder, written so often. */
     static final String VIEW = "amqp.json";
@@ -36,8 +36,8 @@
 
     private final AmqpConfig config;
     private AmqpServer server;
-    private Queues queues;
-    private Publications publications;
+    private ConsumerTransport queues;
+    private PublisherFrontend publishers;
     private final BackgroundJsonFile view;
     private EventLoop loop;
     private String epoch;
@@ -48,7 +48,7 @@
     }
 
     static AmqpParts read(Path file, Config sender) throws IOException, BadInput {
-        return new AmqpParts(AmqpConfig.read(file, new AmqpConfig.Known(sender.classes(), sender.tenants(),
+        return new AmqpParts(AmqpConfig.read(file, new AmqpConfig.KnownNames(sender.classes(), sender.tenants(),
                 sender.kinds(), sender.zones())), sender.state());
     }
 
@@ -65,14 +65,14 @@
         epoch = Long.toHexString(System.currentTimeMillis());
         server = new AmqpServer(loop, config, epoch);
         this.loop = loop;
-        queues = new Queues(loop, config.limits().awayMs(), ends);
+        queues = new ConsumerTransport(loop, config.limits().awayMs(), ends);
         return new Ways(network, queues);
     }
 
     AnswerChannel outcome(Consumer<PendingAnswer> heard) {
-        publications = new Publications(server, config.routes(), heard);
-        server.over(publications, queues);
-        return publications;
+        publishers = new PublisherFrontend(server, config.routes(), heard);
+        server.setHandlers(publishers, queues);
+        return publishers;
     }
 
     Directory directory() {
@@ -93,12 +93,12 @@
     }
 
     List<InetSocketAddress> addresses() {
-        return publications.addresses();
+        return publishers.addresses();
     }
 
     Frontend front(MessageIntake desk) throws IOException {
-        publications.over(desk, new Brokers(loop, config, epoch, queues, publications));
+        publishers.setIntake(desk, new BrokerLinks(loop, config, epoch, queues, publishers));
         writeView();
-        return publications;
+        return publishers;
     }
 }
--- a/src/main/java/slipfield/front/amqp/Publications.java
+++ b/src/main/java/slipfield/front/amqp/PublisherFrontend.java
@@ -10,13 +10,13 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
-import slipfield.amqp.client.Brokers;
+import slipfield.amqp.client.BrokerLinks;
 import slipfield.amqp.codec.ReplyCode;
 import slipfield.amqp.decide.RoutingTable;
 import slipfield.amqp.server.AmqpServer;
 import slipfield.amqp.Publication;
 import slipfield.amqp.Publisher;
-import slipfield.amqp.Publishing;
+import slipfield.amqp.PublishHandler;
 import slipfield.amqp.ReturnHeaders;
 import slipfield.config.BadInput;
 import slipfield.config.Config;
@@ -33,7 +33,7 @@
  * delivered; else {@code basic.return} with what became of it, then {@code basic.nack}. A publisher that is gone is owed
  * nothing: it will publish again, and an id that is known then is not taken twice.
  */
-public final class Publications implements Frontend, AnswerChannel, Publishing {
+public final class PublisherFrontend implements Frontend, AnswerChannel, PublishHandler {
     /** The outcome's name in claims. */
     public static final String NAME = "amqp";
 
@@ -46,8 +46,8 @@
     /** Channels with confirms that were not sent yet. */
     private final Set<Publisher> due = new LinkedHashSet<>();
     private MessageIntake desk;
-    private Reading reading;
-    private Brokers brokers;
+    private SubmissionReader reading;
+    private BrokerLinks brokers;
     private volatile List<InetSocketAddress> addresses = List.of();
     private boolean closing;
     private long unnamed;
@@ -59,17 +59,17 @@
     }
 
     /** {@code heard} is told of each answer that was passed on, or that nobody waits for. */
-    public Publications(AmqpServer server, RoutingTable routes, Consumer<PendingAnswer> heard) {
+    public PublisherFrontend(AmqpServer server, RoutingTable routes, Consumer<PendingAnswer> heard) {
         this.server = server;
         this.routes = routes;
         this.heard = heard;
     }
 
     /** Hands in at this desk, also what these brokers deliver. */
-    public void over(MessageIntake at, Brokers from) {
+    public void setIntake(MessageIntake at, BrokerLinks from) {
         desk = at;
         brokers = from;
-        reading = new Reading(at);
+        reading = new SubmissionReader(at);
     }
 
     @Override
@@ -99,7 +99,7 @@
 
     @Override
     public int openConnections() {
-        return server.busy();
+        return server.connectionCount();
     }
 
     // ---- what is published ----
@@ -125,7 +125,7 @@
         String id = submission.id();
         if (taken.stream().anyMatch(t -> t.held.id.equals(id))) {
             // What is said of an id must be true of the journal.
-            turned();
+            batchEnded();
         }
         Optional<MessageIntake.DuplicateState> before = desk.checkDuplicate(id, submission.recipients().get(0));
         if (before.isPresent()) {
@@ -157,7 +157,7 @@
 
     /** All that was taken goes into the journal in one write, and on to the module; its end is what is told. */
     @Override
-    public void turned() {
+    public void batchEnded() {
         if (!taken.isEmpty()) {
             boolean written = desk.writeAccepted();
             List<Taken> told = List.copyOf(taken);
@@ -180,12 +180,12 @@
     }
 
     @Override
-    public void left(Publisher publisher) {
+    public void publisherClosed(Publisher publisher) {
         due.remove(publisher);
         Waiting waits = waiting.remove(publisher.peer());
         if (waits != null && !waits.byId.isEmpty()) {
             if (!taken.isEmpty()) {
-                turned();
+                batchEnded();
             }
             desk.recipientGone(NAME, publisher.peer());
         }
@@ -213,17 +213,17 @@
     }
 
     private void refused(Publisher to, Publication p, ReplyCode code, String text, long waitMs) {
-        to.giveBack(p, code, text, ReturnHeaders.refused(waitMs));
+        to.returnMessage(p, code, text, ReturnHeaders.refused(waitMs));
         end(to, p, false);
     }
 
     private void failed(Publisher to, Publication p, String text) {
-        to.giveBack(p, ReplyCode.INTERNAL_ERROR, text, ReturnHeaders.failed());
+        to.returnMessage(p, ReplyCode.INTERNAL_ERROR, text, ReturnHeaders.failed());
         end(to, p, false);
     }
 
     private void end(Publisher to, Publication p, boolean ack) {
-        to.end(p, ack);
+        to.confirm(p, ack);
         due.add(to);
     }
 
--- a/src/main/java/slipfield/front/amqp/Reading.java
+++ b/src/main/java/slipfield/front/amqp/SubmissionReader.java
@@ -11,13 +11,13 @@
 import slipfield.journal.AnswerRecipient;
 
 /** What a publication hands in, checked. */
-final class Reading {
+final class SubmissionReader {
     private static final String KEY = "idempotency-key";
     private static final String TENANT = "tenant";
 
     private final MessageIntake desk;
 
-    Reading(MessageIntake desk) {
+    SubmissionReader(MessageIntake desk) {
         this.desk = desk;
     }
 
--- a/src/main/java/slipfield/standin/AmqpPeers.java
+++ b/src/main/java/slipfield/standin/AmqpPeers.java
@@ -142,7 +142,7 @@
 
     @Override
     public void close() {
-        loop.submit(() -> links.forEach(BrokerLink::end)).syncUninterruptibly();
+        loop.submit(() -> links.forEach(BrokerLink::close)).syncUninterruptibly();
     }
 
     /** One connection. */
--- a/src/main/java/slipfield/transport/amqp/Queues.java
+++ b/src/main/java/slipfield/transport/amqp/ConsumerTransport.java
@@ -12,7 +12,7 @@
 import java.util.OptionalDouble;
 import java.util.concurrent.TimeUnit;
 import slipfield.amqp.AmqpConfig;
-import slipfield.amqp.Consuming;
+import slipfield.amqp.ConsumerHandler;
 import slipfield.amqp.Receiver;
 import slipfield.amqp.codec.Properties;
 import slipfield.amqp.codec.Properties.Property;
@@ -29,7 +29,7 @@
  * one consumer. What finds no room there stands in a line as long as the consumer has slots, and beyond it is turned away
  * unseen. On the core's loop.
  */
-public final class Queues implements Transport, Directory, Consuming {
+public final class ConsumerTransport implements Transport, Directory, ConsumerHandler {
     private final EventLoop loop;
     /** By name, those of whoever came so far: one that left is told of once more. */
     private final Map<String, AmqpConfig.Queue> queues = new HashMap<>();
@@ -51,7 +51,7 @@
     }
 
     /** {@code awayMs}: one that left is remembered for so long. */
-    public Queues(EventLoop loop, long awayMs, AttemptListener ends) {
+    public ConsumerTransport(EventLoop loop, long awayMs, AttemptListener ends) {
         this.loop = loop;
         this.ends = ends;
         this.consumers = new ConsumerRegistry(awayMs);
@@ -72,19 +72,19 @@
     }
 
     @Override
-    public boolean mayCome(Receiver receiver, boolean exclusive) {
+    public boolean canAdd(Receiver receiver, boolean exclusive) {
         return lists != null && consumers.canAdd(receiver.name(), receiver.queue().name(), exclusive);
     }
 
     @Override
-    public void came(Receiver receiver, boolean exclusive) {
+    public void consumerAdded(Receiver receiver, boolean exclusive) {
         lines.put(receiver.name(), new Line(receiver));
         queues.put(receiver.queue().name(), receiver.queue());
         tell(consumers.add(receiver.name(), receiver.queue().name(), exclusive, receiver.priority()));
     }
 
     @Override
-    public void left(Receiver receiver) {
+    public void consumerRemoved(Receiver receiver) {
         Line line = lines.remove(receiver.name());
         tell(consumers.remove(receiver.name(), nowMs()));
         // They were not sent, and can go elsewhere.
@@ -121,7 +121,7 @@
     }
 
     @Override
-    public int consumers(String queue) {
+    public int consumerCount(String queue) {
         return consumers.count(queue);
     }
 
@@ -160,9 +160,9 @@
         call.timer = loop.schedule(call::timedOut, (long) Math.ceil(leftMs * 1000), TimeUnit.MICROSECONDS);
         if (line == null) {
             call.end(AttemptOutcome.NOT_SENT);
-        } else if (line.waiting.isEmpty() && line.receiver.room()) {
+        } else if (line.waiting.isEmpty() && line.receiver.hasCapacity()) {
             call.deliver();
-        } else if (line.waiting.size() < line.receiver.slots()) {
+        } else if (line.waiting.size() < line.receiver.maxInFlight()) {
             line.waiting.addLast(call);
         } else {
             call.end(AttemptOutcome.FULL);
@@ -171,9 +171,9 @@
     }
 
     @Override
-    public void room(Receiver receiver) {
+    public void capacityFreed(Receiver receiver) {
         Line line = lines.get(receiver.name());
-        while (line != null && !line.waiting.isEmpty() && receiver.room()) {
+        while (line != null && !line.waiting.isEmpty() && receiver.hasCapacity()) {
             line.waiting.pollFirst().deliver();
         }
     }
@@ -240,7 +240,7 @@
             });
         }
 
-        private void settled(Receiver.How how, long waitMs) {
+        private void settled(Receiver.Settlement how, long waitMs) {
             switch (how) {
                 case ACKED -> end(AttemptOutcome.DELIVERED);
                 case REQUEUED -> end(AttemptOutcome.FULL, waitMs);
--- a/src/test/java/slipfield/amqp/AmqpConfigTest.java
+++ b/src/test/java/slipfield/amqp/AmqpConfigTest.java
@@ -16,7 +16,7 @@
 
 /** The operator's file: the one that is delivered, and what is told of broken ones. */
 class AmqpConfigTest {
-    private static final AmqpConfig.Known KNOWN = new AmqpConfig.Known(List.of("order-keyed", "once"), List.of("acme"),
+    private static final AmqpConfig.KnownNames KNOWN = new AmqpConfig.KnownNames(List.of("order-keyed", "once"), List.of("acme"),
             List.of("m"), List.of("a", "b"));
     private static final String GOOD = """
             listen: 127.0.0.1:5672
--- a/src/test/java/slipfield/amqp/server/ServerFuzzTest.java
+++ b/src/test/java/slipfield/amqp/server/ServerFuzzTest.java
@@ -18,10 +18,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import slipfield.amqp.AmqpConfig;
-import slipfield.amqp.Consuming;
+import slipfield.amqp.ConsumerHandler;
 import slipfield.amqp.Publication;
 import slipfield.amqp.Publisher;
-import slipfield.amqp.Publishing;
+import slipfield.amqp.PublishHandler;
 import slipfield.amqp.Receiver;
 import slipfield.amqp.Secret;
 import slipfield.amqp.codec.Frame;
@@ -49,7 +49,7 @@
     @TempDir
     private Path folder;
 
-    private final class Core implements Publishing, Consuming {
+    private final class Core implements PublishHandler, ConsumerHandler {
         @Override
         public void published(Publisher from, Publication publication) {
             published++;
@@ -58,48 +58,48 @@
                 return;
             }
             if (random.nextBoolean()) {
-                from.giveBack(publication, ReplyCode.RESOURCE_ERROR, "no", Map.of("x", 1));
+                from.returnMessage(publication, ReplyCode.RESOURCE_ERROR, "no", Map.of("x", 1));
             }
-            from.end(publication, random.nextBoolean());
+            from.confirm(publication, random.nextBoolean());
             from.flush();
         }
 
         @Override
-        public void turned() {
+        public void batchEnded() {
             for (Receiver r : consumers) {
-                while (r.room() && random.nextBoolean()) {
+                while (r.hasCapacity() && random.nextBoolean()) {
                     r.deliver(Properties.NONE, new byte[random.nextInt(5000)], false, (how, waitMs) -> { });
                 }
             }
         }
 
         @Override
-        public void left(Publisher publisher) {
+        public void publisherClosed(Publisher publisher) {
             open.clear();
         }
 
         @Override
-        public boolean mayCome(Receiver receiver, boolean exclusive) {
+        public boolean canAdd(Receiver receiver, boolean exclusive) {
             return consumers.stream().noneMatch(r -> r.name().equals(receiver.name()));
         }
 
         @Override
-        public void came(Receiver receiver, boolean exclusive) {
+        public void consumerAdded(Receiver receiver, boolean exclusive) {
             consumers.add(receiver);
         }
 
         @Override
-        public void left(Receiver receiver) {
+        public void consumerRemoved(Receiver receiver) {
             assertTrue(consumers.remove(receiver), "one left that had not come");
         }
 
         @Override
-        public void room(Receiver receiver) {
+        public void capacityFreed(Receiver receiver) {
             assertTrue(consumers.contains(receiver), "room at one that is gone");
         }
 
         @Override
-        public int consumers(String queue) {
+        public int consumerCount(String queue) {
             return consumers.size();
         }
     }
@@ -164,7 +164,7 @@
                 queues: [{name: q, destination: 2}]
                 limits: {heartbeat: 0ms, frame_octets: 4096, unsettled_each: 30, unsettled: 50}
                 """.formatted(Secret.of("p")));
-        AmqpConfig config = AmqpConfig.read(file, new AmqpConfig.Known(List.of("c"), List.of(), List.of(), List.of()));
+        AmqpConfig config = AmqpConfig.read(file, new AmqpConfig.KnownNames(List.of("c"), List.of(), List.of(), List.of()));
         List<byte[]> pieces = pieces();
         byte[] opening = octets(new Frame.ProtocolHeader(), method(0, MethodId.CONNECTION_START_OK, Map.of(), "PLAIN",
                 "\0u\0p", "en_US"));
@@ -175,7 +175,7 @@
         Core core = new Core();
         long sent = 0;
         AmqpServer server = new AmqpServer(loop.eventLoop(), config, "e", Runnable::run);
-        server.over(core, core);
+        server.setHandlers(core, core);
         while (sent < frames) {
             EmbeddedChannel channel = new EmbeddedChannel();
             server.accept(channel);
@@ -206,7 +206,7 @@
             channel.finishAndReleaseAll();
             assertEquals(List.of(), consumers, "consumers of a connection that is gone");
             assertEquals(List.of(), open);
-            assertEquals(0, server.busy());
+            assertEquals(0, server.connectionCount());
             long quarter = config.limits().all().octets() / 4;
             for (int nobody = -4; nobody < 0; nobody++) {
                 assertTrue(server.pressure().tryStartBody(nobody, quarter), "a body is counted for a connection that is gone");
--- a/src/test/java/slipfield/front/amqp/PublicationsTest.java
+++ b/src/test/java/slipfield/front/amqp/PublisherFrontendTest.java
@@ -22,7 +22,7 @@
 import slipfield.journal.PendingAnswer;
 
 /** What publishers hear of what the desk says, one publication at a time; no connection and no sender. */
-class PublicationsTest {
+class PublisherFrontendTest {
     private final List<String> told = new ArrayList<>();
     private final List<String> left = new ArrayList<>();
     private final List<PendingAnswer> heard = new ArrayList<>();
@@ -31,7 +31,7 @@
     private final List<String> answered = new ArrayList<>();
     private boolean writes = true;
     private long waitMs = -1;
-    private final Publications front = new Publications(null, new RoutingTable().addExchange("x",
+    private final PublisherFrontend front = new PublisherFrontend(null, new RoutingTable().addExchange("x",
             List.of(new RoutingTable.Route("#", "c", 7, 0))), heard::add);
 
     private final class Channel implements Publisher {
@@ -47,13 +47,13 @@
         }
 
         @Override
-        public void giveBack(Publication p, ReplyCode code, String text, Map<String, Object> headers) {
+        public void returnMessage(Publication p, ReplyCode code, String text, Map<String, Object> headers) {
             told.add(peer + p.tag() + " " + code.number() + " " + headers.get(ReturnHeaders.END)
                     + (headers.containsKey(ReturnHeaders.RETRY_AFTER) ? " " + headers.get(ReturnHeaders.RETRY_AFTER) : ""));
         }
 
         @Override
-        public void end(Publication p, boolean ack) {
+        public void confirm(Publication p, boolean ack) {
             told.add(peer + p.tag() + (ack ? " ack" : " nack"));
         }
 
@@ -122,8 +122,8 @@
         }
     }
 
-    PublicationsTest() {
-        front.over(new World(), null);
+    PublisherFrontendTest() {
+        front.setIntake(new World(), null);
     }
 
     private void publish(Channel from, long tag, String id) {
@@ -150,7 +150,7 @@
         publish(a, 1, "m1");
         publish(a, 2, "m2");
         publish(a, 3, "m3");
-        front.turned();
+        front.batchEnded();
         assertEquals(List.of(), told());
         assertEquals(List.of("m1 true", "m2 true", "m3 true"), answered);
         owe(0, PendingMessage.FinalAnswer.DELIVERED, 0);
@@ -166,7 +166,7 @@
     void whatIsNotInTheJournalIsGivenBack() {
         writes = false;
         publish(new Channel("a"), 1, "m1");
-        front.turned();
+        front.batchEnded();
         assertEquals(List.of("m1 false"), answered);
         assertEquals(List.of("a1 506 refused", "a1 nack", "a flush"), told());
     }
@@ -189,12 +189,12 @@
         publish(a, 2, "m1");
         assertEquals(List.of("m1 true"), answered, "written before the second is looked at");
         publish(b, 1, "m1");
-        front.turned();
+        front.batchEnded();
         assertEquals(1, taken.size());
         owe(0, PendingMessage.FinalAnswer.DELIVERED, 0);
         assertEquals(List.of("a1 ack", "a2 ack", "a flush"), told());
         PendingMessage held = taken.get(0);
-        front.enqueue(new PendingAnswer(held, new AnswerRecipient(Publications.NAME, "b", true, false)));
+        front.enqueue(new PendingAnswer(held, new AnswerRecipient(PublisherFrontend.NAME, "b", true, false)));
         front.flush();
         assertEquals(List.of("b1 ack", "b flush"), told());
         known.put("m1", MessageIntake.DuplicateState.DELIVERED);
@@ -208,13 +208,13 @@
     void whoHasLeftIsOwedNothing() {
         Channel a = new Channel("a");
         publish(a, 1, "m1");
-        front.left(a);
+        front.publisherClosed(a);
         assertEquals(List.of("a"), left);
         assertEquals(List.of("m1 true"), answered, "it was taken, and is delivered all the same");
         owe(0, PendingMessage.FinalAnswer.DELIVERED, 0);
         assertEquals(List.of(), told());
         assertEquals(1, heard.size());
-        front.left(new Channel("b"));
+        front.publisherClosed(new Channel("b"));
         assertEquals(List.of("a"), left, "one that waits for nothing is not looked for");
     }
 }
