--- a/src/main/java/slipfield/amqp/client/BrokerConsumer.java
+++ b/src/main/java/slipfield/amqp/client/BrokerConsumer.java
@@ -18,52 +18,52 @@
 import slipfield.log.Log;
 
 /**
- * A queue of a broker elsewhere that is consumed: what is delivered there is handed in here, and acknowledged once it has
- * its end. A refused one goes back to the queue after the wait that was told, a failed one is rejected: to the broker's dead
- * letters, where it has any. What was unsettled when the link fell comes again, under the id that is known here.
+ * Consumes a queue of another broker. Its deliveries are submitted here and acknowledged once they have their final answer. A
+ * refused message is requeued after the requested delay. A failed one is rejected, so that the broker moves it to its dead
+ * letters if it has any. Messages that were unsettled when the link was lost are delivered again under their known ids.
  */
 public final class BrokerConsumer implements BrokerLink.Listener {
-    /** A refusal that tells no wait is not given back at once, to be delivered and refused again in the same moment. */
-    private static final long LEAST_WAIT_MS = 250;
+    /** The minimum delay before a refused message is requeued. Without it the broker would deliver it again at once. */
+    private static final long MIN_REQUEUE_DELAY_MS = 250;
 
     private final EventLoop loop;
     private final AmqpConfig.Inbound config;
-    private final PublishHandler publishing;
+    private final PublishHandler publishHandler;
     private final String epoch;
     private final BrokerLink link;
-    private Life life;
-    private int lives;
+    private Session session;
+    private int sessions;
 
-    /** Will consume there, and hand in at this front; {@code epoch}: another in each life of the sender. */
+    /** Passes messages to {@code publishHandler}; {@code epoch}: differs for every process, so that peer names are unique. */
     public BrokerConsumer(EventLoop loop, AmqpConfig.Inbound config, Optional<SslContext> tls, AmqpConfig.Limits limits,
-            String epoch, PublishHandler publishing) {
+            String epoch, PublishHandler publishHandler) {
         this.loop = loop;
         this.config = config;
-        this.publishing = publishing;
+        this.publishHandler = publishHandler;
         this.epoch = epoch;
         this.link = new BrokerLink(loop, config.broker(), tls, limits.tuning(), limits.bodyOctets(), this);
     }
 
-    /** Connects, and again whenever it is down. */
+    /** Connects, and reconnects whenever the link is lost. */
     public void dial() {
         link.dial();
     }
 
-    /** Takes no more; what is unsettled is settled still, and then the connection is closed. */
+    /** Stops consuming, and closes the connection once all deliveries are settled. */
     public void close() {
-        if (life == null) {
+        if (session == null) {
             link.close();
         } else {
-            life.ending = true;
+            session.closing = true;
             link.send(MethodId.BASIC_CANCEL, config.broker().name(), true);
-            life.endIfIdle();
+            session.closeIfIdle();
         }
     }
 
     @Override
     public void opened() {
         Log.info("amqp.broker_open", "broker", config.broker().name());
-        life = new Life(epoch + "-in/" + config.broker().name() + "." + ++lives);
+        session = new Session(epoch + "-in/" + config.broker().name() + "." + ++sessions);
         link.send(MethodId.BASIC_QOS, 0L, config.prefetch(), false);
         link.send(MethodId.BASIC_CONSUME, 0, config.queue(), config.broker().name(), false, false, false, false, Map.of());
     }
@@ -72,51 +72,51 @@
     public void method(Method m) {
         switch (m.id()) {
             case BASIC_QOS_OK, BASIC_CONSUME_OK, BASIC_CANCEL_OK -> { }
-            case BASIC_CANCEL -> link.fail("the queue is gone there");
+            case BASIC_CANCEL -> link.fail("the broker cancelled the consumer");
             case CHANNEL_FLOW -> link.send(MethodId.CHANNEL_FLOW_OK, m.flag("active"));
-            default -> link.fail(m.id() + " came, which nobody asked for");
+            default -> link.fail(m.id() + " is unexpected");
         }
     }
 
     @Override
     public void content(Method m, Properties properties, byte[] body) {
         if (m.id() != MethodId.BASIC_DELIVER) {
-            link.fail(m.id() + " came, which nobody asked for");
+            link.fail(m.id() + " is unexpected");
             return;
         }
-        life.out++;
-        publishing.published(life, new Publication(m.number("delivery-tag"), config.user(), config.exchange(),
+        session.unsettled++;
+        publishHandler.published(session, new Publication(m.number("delivery-tag"), config.user(), config.exchange(),
                 m.text("routing-key"), properties, body));
     }
 
-    /** What came together goes into the journal in one write. */
+    /** Messages that were read together are written to the journal in one write. */
     @Override
     public void readComplete() {
-        publishing.batchEnded();
+        publishHandler.batchEnded();
     }
 
     @Override
     public void lost() {
-        Life over = life;
-        life = null;
-        over.gone = true;
-        publishing.publisherClosed(over);
+        Session lost = session;
+        session = null;
+        lost.closed = true;
+        publishHandler.publisherClosed(lost);
     }
 
     @Override
     public void writable() {
-        // What it writes are settlements, as many as it was allowed deliveries.
+        // Only settlements are written, and the prefetch limits their number.
     }
 
-    /** What one link had delivered. */
-    private final class Life implements Publisher {
+    /** The deliveries of one connection. */
+    private final class Session implements Publisher {
         private final String peer;
-        private final Map<Long, Long> refused = new HashMap<>();
-        private boolean gone;
-        private boolean ending;
-        private int out;
+        private final Map<Long, Long> requeueDelays = new HashMap<>();
+        private boolean closed;
+        private boolean closing;
+        private int unsettled;
 
-        private Life(String peer) {
+        private Session(String peer) {
             this.peer = peer;
         }
 
@@ -128,13 +128,13 @@
         @Override
         public void returnMessage(Publication p, ReplyCode code, String text, Map<String, Object> headers) {
             if (ReturnHeaders.isRefused(headers)) {
-                refused.put(p.tag(), Math.max(LEAST_WAIT_MS, ReturnHeaders.waitMs(headers)));
+                requeueDelays.put(p.tag(), Math.max(MIN_REQUEUE_DELAY_MS, ReturnHeaders.waitMs(headers)));
             }
         }
 
         @Override
         public void confirm(Publication p, boolean ack) {
-            Long waitMs = refused.remove(p.tag());
+            Long waitMs = requeueDelays.remove(p.tag());
             if (ack) {
                 settle(MethodId.BASIC_ACK, p.tag(), false);
             } else if (waitMs == null) {
@@ -144,23 +144,23 @@
             }
         }
 
-        private void settle(MethodId id, long tag, boolean flag) {
-            if (!gone) {
-                out--;
-                link.send(id, tag, flag);
-                endIfIdle();
+        private void settle(MethodId id, long tag, boolean requeue) {
+            if (!closed) {
+                unsettled--;
+                link.send(id, tag, requeue);
+                closeIfIdle();
             }
         }
 
-        private void endIfIdle() {
-            if (ending && out == 0) {
+        private void closeIfIdle() {
+            if (closing && unsettled == 0) {
                 link.close();
             }
         }
 
         @Override
         public void flush() {
-            // Each settlement is sent by itself; the connection's flushes are put together there.
+            // Settlements are sent at once; the connection consolidates the flushes.
         }
     }
 }
--- a/src/main/java/slipfield/amqp/client/BrokerLink.java
+++ b/src/main/java/slipfield/amqp/client/BrokerLink.java
@@ -33,68 +33,69 @@
 import slipfield.socket.StreamChannel;
 
 /**
- * A connection to a broker with one channel, dialled again whenever it is down. Whoever opens more channels on it, as
- * stand-ins do, hears of what comes on them as on the one.
+ * A connection to a broker with one channel, which is redialled whenever it is lost. If more channels are opened on it, as
+ * stand-ins do, the listener gets their methods and contents like those of the first channel.
  */
 public final class BrokerLink {
-    /** The one channel. */
+    /** The number of the channel. */
     public static final int CHANNEL = 1;
     private static final int CONNECT_MS = 2000;
-    /** From connecting until the channel is open. */
+    /** Limit from connecting until the channel is open. */
     private static final long OPEN_MS = 10_000;
-    private static final double FIRST_PAUSE_MS = 100;
-    private static final double LONGEST_PAUSE_MS = 5000;
-    private static final long BEAT_MS = 250;
+    private static final double FIRST_REDIAL_MS = 100;
+    private static final double MAX_REDIAL_MS = 5000;
+    private static final long HEARTBEAT_CHECK_MS = 250;
     private static final int FLUSH_AFTER = 256;
 
-    /** Hears of the link. On the loop's thread. */
+    /** Is notified of events on the link. Called on the event loop's thread. */
     public interface Listener {
         /** The channel is open. */
         void opened();
 
-        /** A method came on the channel. */
+        /** A method without content was received. */
         void method(Method method);
 
-        /** One with its content. */
+        /** A method with its whole content was received. */
         void content(Method method, Properties properties, byte[] body);
 
-        /** What came in one piece has been told; more comes in a later turn of the loop. */
+        /** Everything that was read together was reported; more follows in a later event-loop iteration. */
         default void readComplete() {
         }
 
-        /** It is down, after it was {@link #opened}. */
+        /** The link was lost after it was {@link #opened}. */
         void lost();
 
-        /** It may be written to again. */
+        /** The link is writable again. */
         void writable();
     }
 
     private final EventLoop loop;
     private final AmqpConfig.Broker broker;
     private final Tuning tuning;
-    private final int mostBody;
+    private final int maxBodyOctets;
     private final Listener listener;
-    private final RedialBackoff redial;
+    private final RedialBackoff backoff;
     private final Optional<SslContext> tls;
     private Channel channel;
     private boolean open;
-    private boolean ended;
+    private boolean closed;
 
-    /** Will be to this broker; {@code mostBody}: octets of a content at most. */
-    public BrokerLink(EventLoop loop, AmqpConfig.Broker broker, Optional<SslContext> tls, Tuning tuning, int mostBody,
+    /** A link to this broker, not dialled yet; {@code maxBodyOctets}: the largest content that is accepted. */
+    public BrokerLink(EventLoop loop, AmqpConfig.Broker broker, Optional<SslContext> tls, Tuning tuning, int maxBodyOctets,
             Listener listener) {
         this.loop = loop;
         this.broker = broker;
         this.tls = tls;
         this.tuning = tuning;
-        this.mostBody = mostBody;
+        this.maxBodyOctets = maxBodyOctets;
         this.listener = listener;
-        this.redial = new RedialBackoff(broker.name().hashCode(), FIRST_PAUSE_MS, LONGEST_PAUSE_MS);
+        this.backoff = new RedialBackoff(broker.name().hashCode(), FIRST_REDIAL_MS, MAX_REDIAL_MS);
     }
 
-    /** Connects, and again whenever it is down. */
+    /** Connects, and reconnects whenever the link is lost. */
     public void dial() {
-        Bootstrap bootstrap = new Bootstrap().group(loop).channelFactory(StreamChannel::new).option(ChannelOption.TCP_NODELAY, true)
+        Bootstrap bootstrap = new Bootstrap().group(loop).channelFactory(StreamChannel::new)
+                .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
@@ -103,38 +104,38 @@
                         FrameEncoder encoder = new FrameEncoder();
                         tls.ifPresent(context -> made.pipeline().addLast(context.newHandler(made.alloc())));
                         made.pipeline().addLast(new FlushConsolidationHandler(FLUSH_AFTER, true), decoder, encoder,
-                                new Life(decoder, encoder));
+                                new ConnectionHandler(decoder, encoder));
                     }
                 });
         Connector.connect(bootstrap, loop, broker.address(), new Connector.Listener() {
             @Override
             public void connected(Channel channel) {
-                // Its first handler has taken it over.
+                // ConnectionHandler handles the channel from channelActive on.
             }
 
             @Override
             public void failed(Throwable cause) {
-                again(cause.getMessage());
+                redialLater(cause.getMessage());
             }
         });
     }
 
-    private void again(String why) {
-        if (!ended) {
+    private void redialLater(String why) {
+        if (!closed) {
             Log.warn("amqp.broker_away", "broker", broker.name(), "cause", why);
-            loop.schedule(this::dial, (long) redial.disconnected(nowMs()), TimeUnit.MILLISECONDS);
+            loop.schedule(this::dial, (long) backoff.disconnected(nowMs()), TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Closes it for good. */
+    /** Closes the link for good. */
     public void close() {
-        ended = true;
+        closed = true;
         if (channel != null) {
             channel.close();
         }
     }
 
-    /** Whether it stands and takes more at once. */
+    /** Whether the channel is open and the connection can take more data. */
     public boolean writable() {
         return open && channel.isWritable();
     }
@@ -149,7 +150,7 @@
         return channel.writeAndFlush(frame);
     }
 
-    /** Gives up the connection at hand, since the broker does what it must not; it is dialled again. */
+    /** Closes the current connection after a protocol violation by the broker; the link is redialled. */
     void fail(String why) {
         Log.warn("amqp.broker_failed", "broker", broker.name(), "cause", why);
         channel.close();
@@ -159,17 +160,17 @@
         return System.nanoTime() / 1e6;
     }
 
-    /** One connection. */
-    private final class Life extends ChannelInboundHandlerAdapter {
+    /** Handles one connection. */
+    private final class ConnectionHandler extends ChannelInboundHandlerAdapter {
         private final FrameDecoder decoder;
         private final FrameEncoder encoder;
-        private final ContentReader contents = new ContentReader(mostBody);
-        private HeartbeatMonitor liveness = new HeartbeatMonitor(0, 0);
-        private Future<?> beats;
-        private Future<?> inTime;
+        private final ContentReader contents = new ContentReader(maxBodyOctets);
+        private HeartbeatMonitor heartbeats = new HeartbeatMonitor(0, 0);
+        private Future<?> heartbeatTimer;
+        private Future<?> openTimeout;
         private String why = "closed by the broker";
 
-        Life(FrameDecoder decoder, FrameEncoder encoder) {
+        ConnectionHandler(FrameDecoder decoder, FrameEncoder encoder) {
             this.decoder = decoder;
             this.encoder = encoder;
         }
@@ -177,51 +178,50 @@
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             channel = ctx.channel();
-            inTime = loop.schedule(() -> ctx.close(), OPEN_MS, TimeUnit.MILLISECONDS);
+            openTimeout = loop.schedule(() -> ctx.close(), OPEN_MS, TimeUnit.MILLISECONDS);
             ctx.writeAndFlush(new Frame.ProtocolHeader());
         }
 
-        private void connection(MethodId id, Object... arguments) {
+        private void sendOnConnection(MethodId id, Object... arguments) {
             channel.writeAndFlush(new Frame.OfMethod(0, Method.of(id, arguments)));
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object frame) {
-            liveness.received(nowMs());
+            heartbeats.received(nowMs());
             try {
                 if (frame instanceof AmqpError error) {
                     throw error;
                 }
-                take((Frame) frame);
+                handle((Frame) frame);
             } catch (AmqpError e) {
                 why = e.getMessage();
-                connection(MethodId.CONNECTION_CLOSE, e.code().number(), e.getMessage(), e.classId(), e.methodId());
+                sendOnConnection(MethodId.CONNECTION_CLOSE, e.code().number(), e.getMessage(), e.classId(), e.methodId());
                 ctx.close();
             }
         }
 
-        private void take(Frame frame) throws AmqpError {
+        private void handle(Frame frame) throws AmqpError {
             if (frame instanceof Frame.OfBody b) {
-                whole(contents.body(b));
+                contentRead(contents.body(b));
             } else if (frame instanceof Frame.OfHeader h) {
-                whole(contents.header(h));
+                contentRead(contents.header(h));
             } else if (frame instanceof Frame.OfMethod m && m.channel() == 0) {
-                ofConnection(m.method());
+                handleConnectionMethod(m.method());
             } else if (frame instanceof Frame.OfMethod m) {
                 contents.method(m.method());
                 if (!m.method().id().hasContent()) {
-                    ofChannel(m.method());
+                    handleChannelMethod(m.method());
                 }
             }
         }
 
-        private void whole(boolean whole) {
-            if (whole) {
-                listener.content(contents.method(), contents.properties(), contents.take());
+        private void contentRead(boolean complete) {
+            if (complete) {
+                listener.content(contents.method(), contents.properties(), contents.takeBody());
             }
         }
 
-        /** What came in one piece has been looked at. */
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
             if (open) {
@@ -230,25 +230,26 @@
             ctx.fireChannelReadComplete();
         }
 
-        private void ofConnection(Method m) throws AmqpError {
+        private void handleConnectionMethod(Method m) throws AmqpError {
             switch (m.id()) {
-                case CONNECTION_START -> connection(MethodId.CONNECTION_START_OK, Map.of("product", "slipfield", "capabilities",
-                        Map.of("publisher_confirms", true, "basic.nack", true, "consumer_cancel_notify", true,
+                case CONNECTION_START -> sendOnConnection(MethodId.CONNECTION_START_OK, Map.of("product", "slipfield",
+                        "capabilities", Map.of("publisher_confirms", true, "basic.nack", true, "consumer_cancel_notify", true,
                                 "authentication_failure_close", true)), broker.mechanism(), broker.response(), "en_US");
                 case CONNECTION_TUNE -> {
                     Tuning agreed = tuning.tuneOkFor(m.number("channel-max"), m.number("frame-max"), m.number("heartbeat"));
                     decoder.frameMax(agreed.frameMax());
                     encoder.frameMax(agreed.frameMax());
-                    liveness = new HeartbeatMonitor(agreed.heartbeatMs(), nowMs());
-                    beats = loop.scheduleWithFixedDelay(this::beat, BEAT_MS, BEAT_MS, TimeUnit.MILLISECONDS);
-                    connection(MethodId.CONNECTION_TUNE_OK, agreed.channelMax(), (long) agreed.frameMax(),
+                    heartbeats = new HeartbeatMonitor(agreed.heartbeatMs(), nowMs());
+                    heartbeatTimer = loop.scheduleWithFixedDelay(this::checkHeartbeat, HEARTBEAT_CHECK_MS, HEARTBEAT_CHECK_MS,
+                            TimeUnit.MILLISECONDS);
+                    sendOnConnection(MethodId.CONNECTION_TUNE_OK, agreed.channelMax(), (long) agreed.frameMax(),
                             (int) (agreed.heartbeatMs() / 1000));
-                    connection(MethodId.CONNECTION_OPEN, broker.virtualHost(), "", false);
+                    sendOnConnection(MethodId.CONNECTION_OPEN, broker.virtualHost(), "", false);
                 }
                 case CONNECTION_OPEN_OK -> send(MethodId.CHANNEL_OPEN, "");
                 case CONNECTION_CLOSE -> {
                     why = m.text("reply-text");
-                    connection(MethodId.CONNECTION_CLOSE_OK);
+                    sendOnConnection(MethodId.CONNECTION_CLOSE_OK);
                     channel.close();
                 }
                 case CONNECTION_BLOCKED, CONNECTION_UNBLOCKED -> { }
@@ -256,15 +257,15 @@
             }
         }
 
-        private void ofChannel(Method m) {
+        private void handleChannelMethod(Method m) {
             switch (m.id()) {
                 case CHANNEL_OPEN_OK -> {
                     if (open) {
                         return;
                     }
-                    inTime.cancel(false);
+                    openTimeout.cancel(false);
                     open = true;
-                    redial.connected(nowMs());
+                    backoff.connected(nowMs());
                     listener.opened();
                 }
                 case CHANNEL_CLOSE -> {
@@ -275,14 +276,14 @@
             }
         }
 
-        private void beat() {
-            switch (liveness.due(nowMs(), true)) {
+        private void checkHeartbeat() {
+            switch (heartbeats.due(nowMs(), true)) {
                 case SEND_HEARTBEAT -> {
-                    liveness.sent(nowMs());
+                    heartbeats.sent(nowMs());
                     channel.writeAndFlush(new Frame.Heartbeat());
                 }
                 case PEER_LOST -> {
-                    why = "two heartbeats missed";
+                    why = "nothing received for two heartbeat intervals";
                     channel.close();
                 }
                 default -> { }
@@ -298,18 +299,18 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            if (beats != null) {
-                beats.cancel(false);
+            if (heartbeatTimer != null) {
+                heartbeatTimer.cancel(false);
             }
-            if (inTime != null) {
-                inTime.cancel(false);
+            if (openTimeout != null) {
+                openTimeout.cancel(false);
             }
-            boolean was = open;
+            boolean wasOpen = open;
             open = false;
-            if (was) {
+            if (wasOpen) {
                 listener.lost();
             }
-            again(why);
+            redialLater(why);
         }
 
         @Override
--- a/src/main/java/slipfield/amqp/client/BrokerLinks.java
+++ b/src/main/java/slipfield/amqp/client/BrokerLinks.java
@@ -11,25 +11,25 @@
 import slipfield.amqp.ConsumerHandler;
 import slipfield.amqp.PublishHandler;
 
-/** All brokers elsewhere that the operator's file names. */
+/** The links to all brokers in the operator's file. */
 public final class BrokerLinks {
     private final EventLoop loop;
-    private final List<BrokerPublisher> targets = new ArrayList<>();
-    private final List<BrokerConsumer> sources = new ArrayList<>();
+    private final List<BrokerPublisher> publishers = new ArrayList<>();
+    private final List<BrokerConsumer> consumers = new ArrayList<>();
 
-    /** Will publish to targets for one, and hand in what sources deliver at the other. */
-    public BrokerLinks(EventLoop loop, AmqpConfig config, String epoch, ConsumerHandler consuming, PublishHandler publishing)
-            throws IOException {
+    /** Creates the links; outbound brokers become consumers, and messages from inbound ones are published to the handler. */
+    public BrokerLinks(EventLoop loop, AmqpConfig config, String epoch, ConsumerHandler consumerHandler,
+            PublishHandler publishHandler) throws IOException {
         this.loop = loop;
         for (AmqpConfig.Outbound out : config.outbound()) {
-            targets.add(new BrokerPublisher(loop, out, context(out.broker()), config.limits(), consuming));
+            publishers.add(new BrokerPublisher(loop, out, sslContext(out.broker()), config.limits(), consumerHandler));
         }
         for (AmqpConfig.Inbound in : config.inbound()) {
-            sources.add(new BrokerConsumer(loop, in, context(in.broker()), config.limits(), epoch, publishing));
+            consumers.add(new BrokerConsumer(loop, in, sslContext(in.broker()), config.limits(), epoch, publishHandler));
         }
     }
 
-    private static Optional<SslContext> context(AmqpConfig.Broker broker) throws IOException {
+    private static Optional<SslContext> sslContext(AmqpConfig.Broker broker) throws IOException {
         if (broker.tls().isEmpty()) {
             return Optional.empty();
         }
@@ -41,16 +41,16 @@
         return Optional.of(builder.build());
     }
 
-    /** Connects to all, and again whenever one is down. */
+    /** Connects to all brokers, and reconnects whenever a link is lost. */
     public void dial() {
         loop.execute(() -> {
-            targets.forEach(BrokerPublisher::dial);
-            sources.forEach(BrokerConsumer::dial);
+            publishers.forEach(BrokerPublisher::dial);
+            consumers.forEach(BrokerConsumer::dial);
         });
     }
 
-    /** Takes nothing more from sources; what is out to targets ends, or is lost with the process. */
+    /** Stops consuming. Messages that are published and not confirmed yet are settled, or lost with the process. */
     public void close() {
-        sources.forEach(BrokerConsumer::close);
+        consumers.forEach(BrokerConsumer::close);
     }
 }
--- a/src/main/java/slipfield/amqp/client/BrokerPublisher.java
+++ b/src/main/java/slipfield/amqp/client/BrokerPublisher.java
@@ -19,33 +19,33 @@
 import slipfield.log.Log;
 
 /**
- * A broker elsewhere that is published to, as an endpoint: an attempt is one publish, and its confirm what became of it. What
- * the broker returns as {@code refused} it has not run; what it returns in other words it has not routed anywhere. A nack
- * without a return says nothing of whether it ran.
+ * Publishes to another broker, which is an endpoint: an attempt is one publish, and its confirm is the outcome. A returned
+ * message did not run, unless its headers say {@code failed}: it was refused by a sender or not routed by a broker. After a
+ * nack without a return the message may have run.
  */
 public final class BrokerPublisher implements Receiver, BrokerLink.Listener {
-    private static final String ONLY = "";
+    private static final String CONSUMER_TAG = "";
 
     private final AmqpConfig.Outbound config;
-    private final ConsumerHandler consuming;
+    private final ConsumerHandler consumerHandler;
     private final BrokerLink link;
-    private UnackedDeliveries<SettlementListener> out;
-    /** What was returned and not yet confirmed, by message id; how, and the wait that was told. */
+    private UnackedDeliveries<SettlementListener> unconfirmed;
+    /** Messages that were returned and are not confirmed yet, by message id. */
     private final Map<String, Returned> returned = new HashMap<>();
-    private final Map<Long, String> ids = new HashMap<>();
+    private final Map<Long, String> messageIds = new HashMap<>();
 
-    private record Returned(Settlement how, long waitMs) {
+    private record Returned(Settlement settlement, long waitMs) {
     }
 
-    /** Will publish there, and say here whether it can. */
+    /** Reports the broker as a consumer to {@code consumerHandler} while the link is up. */
     public BrokerPublisher(EventLoop loop, AmqpConfig.Outbound config, Optional<SslContext> tls, AmqpConfig.Limits limits,
-            ConsumerHandler consuming) {
+            ConsumerHandler consumerHandler) {
         this.config = config;
-        this.consuming = consuming;
+        this.consumerHandler = consumerHandler;
         this.link = new BrokerLink(loop, config.broker(), tls, limits.tuning(), limits.bodyOctets(), this);
     }
 
-    /** Connects, and again whenever it is down. */
+    /** Connects, and reconnects whenever the link is lost. */
     public void dial() {
         link.dial();
     }
@@ -74,13 +74,13 @@
 
     @Override
     public boolean hasCapacity() {
-        return link.writable() && out != null && out.canDeliver(ONLY);
+        return link.writable() && unconfirmed != null && unconfirmed.canDeliver(CONSUMER_TAG);
     }
 
     @Override
-    public ChannelFuture deliver(Properties properties, byte[] body, boolean redelivered, SettlementListener then) {
-        long tag = out.deliver(ONLY, then, 0);
-        ids.put(tag, properties.text(Properties.Property.MESSAGE_ID));
+    public ChannelFuture deliver(Properties properties, byte[] body, boolean redelivered, SettlementListener listener) {
+        long tag = unconfirmed.deliver(CONSUMER_TAG, listener, 0);
+        messageIds.put(tag, properties.text(Properties.Property.MESSAGE_ID));
         return link.send(new Frame.Content(BrokerLink.CHANNEL, Method.of(MethodId.BASIC_PUBLISH, 0, config.exchange(),
                 config.key(), true, false), properties, body));
     }
@@ -96,20 +96,20 @@
     public void method(Method m) {
         switch (m.id()) {
             case CONFIRM_SELECT_OK -> {
-                // Publish numbers begin anew with each channel.
-                out = new UnackedDeliveries<>(config.inFlight());
-                out.addConsumer(ONLY);
+                // Delivery tags start at 1 on each channel.
+                unconfirmed = new UnackedDeliveries<>(config.inFlight());
+                unconfirmed.addConsumer(CONSUMER_TAG);
                 Log.info("amqp.broker_open", "broker", config.broker().name());
-                consuming.consumerAdded(this, false);
+                consumerHandler.consumerAdded(this, false);
             }
             case BASIC_ACK -> confirmed(m, true);
             case BASIC_NACK -> confirmed(m, false);
             case CHANNEL_FLOW -> {
-                out.flow(m.flag("active"));
+                unconfirmed.flow(m.flag("active"));
                 link.send(MethodId.CHANNEL_FLOW_OK, m.flag("active"));
-                consuming.capacityFreed(this);
+                consumerHandler.capacityFreed(this);
             }
-            default -> link.fail(m.id() + " came, which nobody asked for");
+            default -> link.fail(m.id() + " is unexpected");
         }
     }
 
@@ -123,34 +123,34 @@
     }
 
     private void confirmed(Method m, boolean ack) {
-        Optional<List<UnackedDeliveries.Delivery<SettlementListener>>> settled = out == null ? Optional.empty()
-                : out.settle(m.number("delivery-tag"), m.flag("multiple"));
+        Optional<List<UnackedDeliveries.Delivery<SettlementListener>>> settled = unconfirmed == null ? Optional.empty()
+                : unconfirmed.settle(m.number("delivery-tag"), m.flag("multiple"));
         if (settled.isEmpty()) {
-            link.fail("a confirm for nothing that is out");
+            link.fail("a confirm for an unknown delivery tag");
             return;
         }
         for (UnackedDeliveries.Delivery<SettlementListener> one : settled.get()) {
-            // A broker that can't route a message returns it and confirms it all the same.
-            Returned back = returned.remove(ids.remove(one.tag()));
-            Settlement how = back != null ? back.how : ack ? Settlement.ACKED : Settlement.REJECTED;
-            one.payload().settled(how, back == null ? 0 : back.waitMs);
+            // A broker that can't route a message returns it and confirms it nevertheless.
+            Returned returnedAs = returned.remove(messageIds.remove(one.tag()));
+            Settlement settlement = returnedAs != null ? returnedAs.settlement : ack ? Settlement.ACKED : Settlement.REJECTED;
+            one.payload().settled(settlement, returnedAs == null ? 0 : returnedAs.waitMs);
         }
-        consuming.capacityFreed(this);
+        consumerHandler.capacityFreed(this);
     }
 
     @Override
     public void writable() {
-        consuming.capacityFreed(this);
+        consumerHandler.capacityFreed(this);
     }
 
     @Override
     public void lost() {
-        if (out != null) {
-            UnackedDeliveries<SettlementListener> lost = out;
-            out = null;
-            ids.clear();
+        if (unconfirmed != null) {
+            UnackedDeliveries<SettlementListener> lost = unconfirmed;
+            unconfirmed = null;
+            messageIds.clear();
             returned.clear();
-            consuming.consumerRemoved(this);
+            consumerHandler.consumerRemoved(this);
             lost.settle(0, true).orElseThrow().forEach(one -> one.payload().settled(Settlement.LOST, 0));
         }
     }
