--- a/src/main/java/slipfield/amqp/ConsumerHandler.java
+++ b/src/main/java/slipfield/amqp/ConsumerHandler.java
@@ -1,19 +1,24 @@
 package slipfield.amqp;
 
-/** Has messages for those that take deliveries. On the loop's thread. */
+/** Delivers messages to consumers as they come and go. Called on the event loop's thread. */
 public interface ConsumerHandler {
-    /** Whether this consumer may come: not beside an exclusive one, and under each name once. */
+    /**
+     * Whether this consumer may be added: its name must not be in use, and an exclusive consumer must be the only one of its
+     * queue.
+     */
     boolean canAdd(Receiver receiver, boolean exclusive);
 
-    /** A consumer came. */
+    /** A consumer was added. */
     void consumerAdded(Receiver receiver, boolean exclusive);
 
-    /** A consumer was cancelled, or its channel is gone; what it has out is settled or lost by itself. */
+    /**
+     * A consumer was cancelled, or its channel was closed. Its unsettled deliveries are reported separately, as settled or lost.
+     */
     void consumerRemoved(Receiver receiver);
 
-    /** A consumer has room again. */
+    /** A consumer may have capacity for another delivery. */
     void capacityFreed(Receiver receiver);
 
-    /** How many consume a queue. */
+    /** The number of consumers of a queue. */
     int consumerCount(String queue);
 }
--- a/src/main/java/slipfield/amqp/ContentReader.java
+++ b/src/main/java/slipfield/amqp/ContentReader.java
@@ -9,78 +9,78 @@
 import slipfield.amqp.codec.ReplyCode;
 import slipfield.amqp.decide.ContentAssembler;
 
-/** A channel's contents, put together from their frames: method, header, body. */
+/** Assembles the contents of one channel from their frames: method, header and body. */
 public final class ContentReader {
-    private final long mostBody;
-    private final ContentAssembler assembly;
+    private final long maxBodyOctets;
+    private final ContentAssembler assembler;
     private Method method;
     private Properties properties;
     private byte[] body;
     private int filled;
 
-    /** {@code mostBody}: octets of a body at most. */
-    public ContentReader(long mostBody) {
-        this.mostBody = mostBody;
-        this.assembly = new ContentAssembler(mostBody);
+    /** {@code maxBodyOctets}: the largest body that is accepted. */
+    public ContentReader(long maxBodyOctets) {
+        this.maxBodyOctets = maxBodyOctets;
+        this.assembler = new ContentAssembler(maxBodyOctets);
     }
 
-    /** A method came; an error if it cuts a content short. */
-    public void method(Method came) throws AmqpError {
-        step(assembly.method(came.id().hasContent()), came.id());
-        method = came;
+    /** Handles a method frame. Throws if the previous content is incomplete. */
+    public void method(Method received) throws AmqpError {
+        step(assembler.method(received.id().hasContent()), received.id());
+        method = received;
     }
 
-    /** A content header came; whether the content is whole by that. */
+    /** Handles a content header. Returns whether the content is complete, as it is with an empty body. */
     public boolean header(Frame.OfHeader header) throws AmqpError {
-        boolean whole = step(assembly.header(header.bodySize()), id());
+        boolean complete = step(assembler.header(header.bodySize()), id());
         properties = header.properties();
         body = new byte[(int) header.bodySize()];
         filled = 0;
-        return whole;
+        return complete;
     }
 
-    /** A part of the body came, whose octets are released here; whether the content is whole by that. */
+    /** Handles a part of the body and releases its buffer. Returns whether the content is complete. */
     public boolean body(Frame.OfBody part) throws AmqpError {
         ByteBuf octets = part.octets();
         try {
             int length = octets.readableBytes();
-            boolean whole = step(assembly.body(length), id());
+            boolean complete = step(assembler.body(length), id());
             octets.readBytes(body, filled, length);
             filled += length;
-            return whole;
+            return complete;
         } finally {
             octets.release();
         }
     }
 
-    /** The method of the content that is whole, or that is being read. */
+    /** The latest method: that of the content which is complete or being read. */
     public Method method() {
         return method;
     }
 
-    /** Its properties. */
+    /** The properties of the latest content. */
     public Properties properties() {
         return properties;
     }
 
-    /** Its body, which is let go of here. */
-    public byte[] take() {
-        byte[] whole = body;
+    /** Returns the body of the latest content and drops the reference to it. */
+    public byte[] takeBody() {
+        byte[] taken = body;
         body = null;
-        return whole;
+        return taken;
     }
 
     private MethodId id() {
         return method == null ? MethodId.BASIC_PUBLISH : method.id();
     }
 
-    private boolean step(ContentAssembler.Step step, MethodId of) throws AmqpError {
+    private boolean step(ContentAssembler.Step step, MethodId method) throws AmqpError {
         return switch (step) {
-            case UNEXPECTED -> throw new AmqpError(ReplyCode.UNEXPECTED_FRAME, assembly.expected()
-                    .map(what -> what + " had to come").orElse("content without its method"), of);
-            case OVERRUN -> throw new AmqpError(ReplyCode.FRAME_ERROR, "a body of more octets than its header told", of);
-            case TOO_LARGE -> throw new AmqpError(ReplyCode.CONTENT_TOO_LARGE, "a body over " + mostBody
-                    + " octets; the operator's file may allow more (body_octets)", of);
+            case UNEXPECTED -> throw new AmqpError(ReplyCode.UNEXPECTED_FRAME, assembler.expected()
+                    .map(what -> what + " had to come").orElse("content without its method"), method);
+            case OVERRUN -> throw new AmqpError(ReplyCode.FRAME_ERROR, "a body of more octets than its header told", method);
+            case TOO_LARGE -> throw new AmqpError(ReplyCode.CONTENT_TOO_LARGE, "a body over " + maxBodyOctets
+                    + " octets; the operator's file may allow more (body_octets)", method);
             case INCOMPLETE -> false;
             case COMPLETE -> true;
         };
--- a/src/main/java/slipfield/amqp/PublishHandler.java
+++ b/src/main/java/slipfield/amqp/PublishHandler.java
@@ -1,13 +1,13 @@
 package slipfield.amqp;
 
-/** Takes what is published. Each publication gets one {@link Publisher#confirm}, unless its publisher has left before. */
+/** Handles published messages. Each gets one {@link Publisher#confirm}, unless its publisher is closed before. */
 public interface PublishHandler {
-    /** A message came whole. */
+    /** A message was received completely. */
     void published(Publisher from, Publication publication);
 
-    /** So much for now: what was taken is to be written before the loop's next turn. */
+    /** Ends a batch: the accepted messages are to be written to the journal before the next event-loop iteration. */
     void batchEnded();
 
-    /** A channel is gone; nobody hears of its messages any more. */
+    /** A channel was closed; its publications are not confirmed any more. */
     void publisherClosed(Publisher publisher);
 }
--- a/src/main/java/slipfield/amqp/Publisher.java
+++ b/src/main/java/slipfield/amqp/Publisher.java
@@ -3,15 +3,15 @@
 import java.util.Map;
 import slipfield.amqp.codec.ReplyCode;
 
-/** A channel that publishes, as whoever takes its messages knows it. On the loop's thread. */
+/** A channel that publishes, as the handler of its messages sees it. Called on the event loop's thread. */
 public interface Publisher {
-    /** Its name, given to no other channel of this sender's lives. */
+    /** Identifies the channel; never reused, not by the process after a restart either. */
     String peer();
 
-    /** Gives a message back with {@code basic.return}, and these headers besides its own. */
+    /** Returns a message with {@code basic.return}, with these headers added to its own. */
     void returnMessage(Publication publication, ReplyCode code, String text, Map<String, Object> headers);
 
-    /** A message has its final answer; its confirm goes out with the next {@link #flush}. */
+    /** Settles a publication that has its final answer. The confirm is sent with the next {@link #flush}. */
     void confirm(Publication publication, boolean ack);
 
     /** Sends the confirms that are due. */
--- a/src/main/java/slipfield/amqp/Receiver.java
+++ b/src/main/java/slipfield/amqp/Receiver.java
@@ -3,41 +3,41 @@
 import io.netty.channel.ChannelFuture;
 import slipfield.amqp.codec.Properties;
 
-/** What takes deliveries: a consumer of a queue here, or a broker elsewhere. On the loop's thread. */
+/** Receives deliveries: a consumer of a queue here, or another broker. Called on the event loop's thread. */
 public interface Receiver {
     /** How a delivery was settled. */
     enum Settlement {
-        /** It is done. */
+        /** The message was processed. */
         ACKED,
-        /** Given back unseen. */
+        /** Returned without being processed. */
         REQUEUED,
-        /** Not done, and it may have run. */
+        /** Not acknowledged; the message may have been processed. */
         REJECTED,
-        /** Whatever took it is gone. */
+        /** The receiver's channel or connection was closed before it settled the delivery. */
         LOST
     }
 
-    /** Hears of a delivery's settlement, once. */
+    /** Is called once, when a delivery is settled. */
     interface SettlementListener {
-        /** It was settled; {@code waitMs}: of one given back, the time to come back after, or 0. */
-        void settled(Settlement how, long waitMs);
+        /** The delivery was settled. {@code waitMs}: the requested delay of a requeued delivery in ms; 0 if there is none. */
+        void settled(Settlement settlement, long waitMs);
     }
 
-    /** Its endpoint's name. */
+    /** The name of its endpoint. */
     String name();
 
-    /** What it is of: destination, kind and zone. */
+    /** The queue, which determines destination, kind and zone. */
     AmqpConfig.Queue queue();
 
-    /** Those of the highest are in service, the others stand by. */
+    /** Of a queue's receivers, only those of the highest priority are in service. */
     int priority();
 
-    /** How many deliveries it may have out at once. */
+    /** The maximum number of unsettled deliveries. */
     int maxInFlight();
 
-    /** Whether it may have one more, and reads what it is sent. */
+    /** Whether it may get another delivery: it is below its maximum and its connection is writable. */
     boolean hasCapacity();
 
-    /** Sends a message to it, which must have room; the future tells when the last octet is out. */
-    ChannelFuture deliver(Properties properties, byte[] body, boolean redelivered, SettlementListener then);
+    /** Sends it a message; it must have capacity. The future completes when the last octet is written to the socket. */
+    ChannelFuture deliver(Properties properties, byte[] body, boolean redelivered, SettlementListener listener);
 }
--- a/src/main/java/slipfield/amqp/ReturnHeaders.java
+++ b/src/main/java/slipfield/amqp/ReturnHeaders.java
@@ -3,11 +3,14 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** What a {@code basic.return} of the sender tells besides its code: whoever publishes to one reads it in the same words. */
+/** The headers that a sender adds to {@code basic.return}. A sender that publishes to another reads the same headers. */
 public final class ReturnHeaders {
-    /** Of a message that was given back: {@code refused} (harmless to publish again) or {@code failed} (no promise). */
+    /**
+     * The result of a returned message: {@code refused} (it did not run and may be published again) or {@code failed} (it may
+     * have run).
+     */
     public static final String END = "x-slipfield-end";
-    /** Of a refused one: milliseconds to wait before it is published again; absent: none are told. */
+    /** The delay in milliseconds before a refused message may be published again; absent if none is requested. */
     public static final String RETRY_AFTER = "x-slipfield-retry-after-ms";
     private static final String REFUSED = "refused";
     private static final String FAILED = "failed";
@@ -15,7 +18,7 @@
     private ReturnHeaders() {
     }
 
-    /** It did not run; {@code waitMs}: 0 where none is told. */
+    /** The headers of a message that did not run. {@code waitMs}: the requested delay in milliseconds; 0 adds none. */
     public static Map<String, Object> refused(long waitMs) {
         Map<String, Object> headers = new LinkedHashMap<>(Map.of(END, REFUSED));
         if (waitMs > 0) {
@@ -24,27 +27,27 @@
         return headers;
     }
 
-    /** It may have run. */
+    /** The headers of a message that may have run. */
     public static Map<String, Object> failed() {
         return Map.of(END, FAILED);
     }
 
-    /** Whether these say that it did not run. */
+    /** Whether the headers report that the message did not run. */
     public static boolean isRefused(Map<String, Object> headers) {
-        return REFUSED.equals(text(headers));
+        return REFUSED.equals(result(headers));
     }
 
-    /** Whether these say that it may have run. */
+    /** Whether the headers report that the message may have run. */
     public static boolean isFailed(Map<String, Object> headers) {
-        return FAILED.equals(text(headers));
+        return FAILED.equals(result(headers));
     }
 
-    /** The wait that they tell, in milliseconds, or 0. */
+    /** The requested delay in milliseconds; 0 if there is none. */
     public static long waitMs(Map<String, Object> headers) {
         return headers.get(RETRY_AFTER) instanceof Number wait ? wait.longValue() : 0;
     }
 
-    private static String text(Map<String, Object> headers) {
+    private static String result(Map<String, Object> headers) {
         return String.valueOf(headers.get(END));
     }
 }
--- a/src/main/java/slipfield/amqp/server/AmqpServer.java
+++ b/src/main/java/slipfield/amqp/server/AmqpServer.java
@@ -35,16 +35,16 @@
 import slipfield.socket.AcceptLoop;
 import slipfield.socket.Listener;
 
-/** The listener and its connections, on the core's loop. */
+/** The AMQP listener and its connections. Runs on the core's event loop unless a method says otherwise. */
 public final class AmqpServer {
     /**
-     * Frames that are looked at in one turn, one of each connection in turn. Guards against a crowd whose publishes would
-     * hold up what is due: the turn's ends, notices and calls go out before the next ones are looked at.
+     * Frames that are handled in one event-loop iteration, round-robin over the connections. Without this limit the publishes
+     * of many connections would delay answers, notices and calls, which are sent before the next iteration.
      */
-    private static final int TAKEN_IN_TURN = 64;
+    private static final int FRAMES_PER_ITERATION = 64;
     private static final long SWEEP_MS = 100;
-    /** All connections are looked after once in so many sweeps: a thousand with ten channels each are work. */
-    private static final int SWEEP_IN = 5;
+    /** Every connection is checked once in this number of sweeps; checking 1000 with ten channels each at once takes long. */
+    private static final int SWEEPS_PER_ROUND = 5;
     private static final int FLUSH_AFTER = 256;
     private static final int LOW_WATER = 32 * 1024;
     private static final int HIGH_WATER = 256 * 1024;
@@ -52,23 +52,23 @@
     private final EventLoop loop;
     private final AmqpConfig config;
     private final String epoch;
-    private final Backpressure pressure;
-    private final Authenticator logins;
+    private final Backpressure backpressure;
+    private final Authenticator authenticator;
     private final Map<Integer, ServerConnection> connections = new LinkedHashMap<>();
     private final Deque<ServerConnection> pending = new ArrayDeque<>();
     private final List<Channel> listeners = new ArrayList<>();
-    private PublishHandler publishing;
-    private ConsumerHandler consuming;
+    private PublishHandler publishHandler;
+    private ConsumerHandler consumerHandler;
     private final Deque<ServerConnection> toSweep = new ArrayDeque<>();
-    private int sweepAtOnce;
-    /** Absent until it listens. */
+    private int connectionsPerSweep;
+    /** Null until {@link #listen}. */
     private AcceptLoop acceptLoop;
     private int lastConnection;
-    private boolean taking;
+    private boolean handlingFrames;
     private boolean closing;
-    private double closingSince;
+    private double closingSinceMs;
 
-    /** {@code epoch}: another in each life of the sender. */
+    /** {@code epoch}: differs for every process, so that names of channels are never reused after a restart. */
     public AmqpServer(EventLoop loop, AmqpConfig config, String epoch) {
         this(loop, config, epoch, Executors.newSingleThreadExecutor(task -> {
             Thread thread = new Thread(task, "amqp-logins");
@@ -77,22 +77,22 @@
         }));
     }
 
-    /** Secrets are checked there. */
-    AmqpServer(EventLoop loop, AmqpConfig config, String epoch, Executor checks) {
+    /** {@code secretChecks}: runs the expensive checks of secrets. */
+    AmqpServer(EventLoop loop, AmqpConfig config, String epoch, Executor secretChecks) {
         this.loop = loop;
-        this.logins = new Authenticator(loop, config.users(), checks);
+        this.authenticator = new Authenticator(loop, config.users(), secretChecks);
         this.config = config;
         this.epoch = epoch;
-        this.pressure = new Backpressure(config.limits().each(), config.limits().all());
+        this.backpressure = new Backpressure(config.limits().perConnection(), config.limits().total());
     }
 
-    /** Who takes what is published, and who has messages for consumers. */
-    public void setHandlers(PublishHandler front, ConsumerHandler transport) {
-        publishing = front;
-        consuming = transport;
+    /** Sets the handlers of publications and of consumers. */
+    public void setHandlers(PublishHandler frontend, ConsumerHandler transport) {
+        publishHandler = frontend;
+        consumerHandler = transport;
     }
 
-    /** Begins to listen, and waits until it does. */
+    /** Starts listening and blocks until the sockets are bound. */
     public List<InetSocketAddress> listen() throws IOException {
         acceptLoop = Retry.within(Retry.START_MS, "amqp-accept", AcceptLoop::open);
         List<InetSocketAddress> addresses = new ArrayList<>();
@@ -111,7 +111,8 @@
     }
 
     private InetSocketAddress bind(InetSocketAddress address, Consumer<Channel> first) throws IOException {
-        ChannelFuture bound = new ServerBootstrap().group(acceptLoop.group(), loop).channelFactory(Listener::new).handler(new Listener.AcceptFailures())
+        ChannelFuture bound = new ServerBootstrap().group(acceptLoop.group(), loop).channelFactory(Listener::new)
+                .handler(new Listener.AcceptFailures())
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, new WriteBufferWaterMark(LOW_WATER, HIGH_WATER))
@@ -124,14 +125,14 @@
                 }).bind(address).awaitUninterruptibly();
         if (!bound.isSuccess()) {
             throw new IOException("AMQP can't listen at " + Config.hostPort(address) + ": " + bound.cause().getMessage()
-                    + "; set another `listen` in the file of AMQP");
+                    + "; set another `listen` in the AMQP file");
         }
         listeners.add(bound.channel());
-        bound.channel().closeFuture().addListener(closed -> endAccepting());
+        bound.channel().closeFuture().addListener(closed -> stopAcceptLoop());
         return (InetSocketAddress) bound.channel().localAddress();
     }
 
-    /** A connection has come. */
+    /** Handles a new connection; closes it at the limit of connections or while the server is closing. */
     void accept(Channel channel) {
         if (closing || connections.size() >= config.limits().connections()) {
             channel.close();
@@ -144,62 +145,62 @@
         channel.pipeline().addLast(new FlushConsolidationHandler(FLUSH_AFTER, true), decoder, encoder, connection);
     }
 
-    /** Lets go of its listeners, as the end of the process would; from any thread but the event loop. */
+    /** Closes the listening sockets as the end of the process would; called from any thread but the event loop. */
     public void kill() {
         listeners.stream().filter(Channel::isOpen).forEach(listener -> listener.close().syncUninterruptibly());
     }
 
-    /** Takes no new connection; each that stands is closed with reply code 320 once nothing of it is out. */
+    /** Accepts no more connections. Each open one is closed with reply code 320 once it has nothing unsettled. */
     public void close() {
         closing = true;
-        closingSince = nowMs();
+        closingSinceMs = nowMs();
         listeners.forEach(Channel::close);
         sweep();
     }
 
-    private void endAccepting() {
+    private void stopAcceptLoop() {
         if (listeners.stream().noneMatch(Channel::isOpen)) {
             acceptLoop.end();
         }
     }
 
-    /** Connections with something out, and those that are being closed. */
+    /** The number of connections, including those that are being closed. */
     public int connectionCount() {
         return connections.size();
     }
 
-    /** What stands, for people. */
+    /** The connections, for display. */
     public List<ConnectionReport> report() {
         return connections.values().stream().map(ServerConnection::report).toList();
     }
 
-    void gone(ServerConnection connection) {
+    void connectionClosed(ServerConnection connection) {
         connections.remove(connection.id());
         pending.remove(connection);
-        pressure.connectionClosed(connection.id());
+        backpressure.connectionClosed(connection.id());
     }
 
-    /** A connection has frames that were not looked at yet. */
+    /** Registers a connection with unhandled frames. */
     void pending(ServerConnection connection) {
         pending.addLast(connection);
-        if (!taking) {
-            taking = true;
-            loop.execute(this::takeSome);
+        if (!handlingFrames) {
+            handlingFrames = true;
+            loop.execute(this::handleFrames);
         }
     }
 
-    private void takeSome() {
-        for (int i = 0; i < TAKEN_IN_TURN && !pending.isEmpty(); i++) {
+    private void handleFrames() {
+        for (int i = 0; i < FRAMES_PER_ITERATION && !pending.isEmpty(); i++) {
             ServerConnection first = pending.pollFirst();
-            if (first.takeOne()) {
+            if (first.handleNextFrame()) {
                 pending.addLast(first);
             }
         }
-        publishing.batchEnded();
-        taking = !pending.isEmpty();
-        if (taking) {
-            // Not at once: the sockets are looked at in between, for the list and for answers.
-            loop.schedule(this::takeSome, 0, TimeUnit.MILLISECONDS);
+        publishHandler.batchEnded();
+        handlingFrames = !pending.isEmpty();
+        if (handlingFrames) {
+            // Not in this iteration: the sockets are read in between, for the endpoint list and for answers.
+            loop.schedule(this::handleFrames, 0, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -207,20 +208,20 @@
         double now = nowMs();
         if (toSweep.isEmpty()) {
             toSweep.addAll(connections.values());
-            sweepAtOnce = 1 + toSweep.size() / SWEEP_IN;
+            connectionsPerSweep = 1 + toSweep.size() / SWEEPS_PER_ROUND;
         }
-        for (int i = 0; i < sweepAtOnce && !toSweep.isEmpty(); i++) {
+        for (int i = 0; i < connectionsPerSweep && !toSweep.isEmpty(); i++) {
             toSweep.pollFirst().sweep(now);
         }
         if (closing) {
-            boolean published = connections.values().stream().anyMatch(ServerConnection::owes);
-            List.copyOf(connections.values()).forEach(c -> c.closeIdle(published, now - closingSince));
+            boolean unconfirmed = connections.values().stream().anyMatch(ServerConnection::hasUnconfirmed);
+            List.copyOf(connections.values()).forEach(c -> c.closeIdle(unconfirmed, now - closingSinceMs));
         }
     }
 
-    /** Loads have changed: some may be read again. */
-    void relieved() {
-        for (int id : pressure.paused()) {
+    /** Resumes paused connections whose load, or the total load, has dropped enough. */
+    void resumePaused() {
+        for (int id : backpressure.paused()) {
             ServerConnection connection = connections.get(id);
             if (connection != null) {
                 connection.updateReading();
@@ -228,8 +229,8 @@
         }
     }
 
-    Authenticator logins() {
-        return logins;
+    Authenticator authenticator() {
+        return authenticator;
     }
 
     double nowMs() {
@@ -244,16 +245,16 @@
         return epoch;
     }
 
-    Backpressure pressure() {
-        return pressure;
+    Backpressure backpressure() {
+        return backpressure;
     }
 
-    PublishHandler publishing() {
-        return publishing;
+    PublishHandler publishHandler() {
+        return publishHandler;
     }
 
-    ConsumerHandler consuming() {
-        return consuming;
+    ConsumerHandler consumerHandler() {
+        return consumerHandler;
     }
 
     EventLoop loop() {
--- a/src/main/java/slipfield/amqp/server/Authenticator.java
+++ b/src/main/java/slipfield/amqp/server/Authenticator.java
@@ -23,117 +23,118 @@
 import slipfield.log.Log;
 
 /**
- * Checks who logs in. A secret costs CPU to check, on purpose; so it is checked on another thread, and a right one once a
- * life: its MAC under a key of this process stands for it from then on, and equal tries at one time share one check. Else a
- * thousand connections of one user, come back after a restart, would take half a minute and mostly be turned away.
+ * Checks logins. Checking a secret is expensive on purpose, so it runs on another thread. A correct secret is checked once per
+ * process; afterwards its MAC, under a random key of this process, is compared instead. Equal logins at the same time share one
+ * check. Otherwise 1000 connections of one user that reconnect after a restart would take half a minute, and most of them
+ * would be refused.
  */
 final class Authenticator {
-    private static final int CHECKS_AT_ONCE = 1;
-    private static final int CHECKS_WAITING = 64;
-    private static final int KEY = 32;
+    private static final int MAX_CHECKS = 1;
+    private static final int MAX_WAITING = 64;
+    private static final int KEY_OCTETS = 32;
 
-    /** What became of a login. */
-    enum Answer {
-        RIGHT, WRONG,
-        /** It was not looked at: too many were at once. */
-        TURNED_AWAY
+    /** The result of a login. */
+    enum Result {
+        ACCEPTED, REJECTED,
+        /** Not checked, since too many logins were waiting. */
+        NOT_CHECKED
     }
 
-    private record Try(AmqpConfig.User user, Credentials login, List<Consumer<Answer>> waiting) {
+    private record Check(AmqpConfig.User user, Credentials login, List<Consumer<Result>> callbacks) {
     }
 
     private final EventLoop loop;
     private final Map<String, AmqpConfig.User> users;
-    private final Executor checks;
-    private final LoginThrottle guard = new LoginThrottle(CHECKS_AT_ONCE, CHECKS_WAITING);
+    private final Executor executor;
+    private final LoginThrottle throttle = new LoginThrottle(MAX_CHECKS, MAX_WAITING);
     private final Mac mac;
-    /** By name, the MAC of the secret that was right. */
-    private final Map<String, byte[]> proven = new HashMap<>();
-    /** Being checked or waiting for it, by name and MAC. */
-    private final Map<String, Try> tries = new HashMap<>();
-    private final Deque<Runnable> waiting = new ArrayDeque<>();
+    /** The MAC of the correct secret, by user name. */
+    private final Map<String, byte[]> verifiedMacs = new HashMap<>();
+    /** Checks that run or wait, by user name and MAC. */
+    private final Map<String, Check> checksByKey = new HashMap<>();
+    private final Deque<Runnable> waitingChecks = new ArrayDeque<>();
 
-    Authenticator(EventLoop loop, Map<String, AmqpConfig.User> users, Executor checks) {
+    Authenticator(EventLoop loop, Map<String, AmqpConfig.User> users, Executor executor) {
         this.loop = loop;
         this.users = users;
-        this.checks = checks;
-        byte[] key = new byte[KEY];
+        this.executor = executor;
+        byte[] key = new byte[KEY_OCTETS];
         new SecureRandom().nextBytes(key);
         try {
             mac = Mac.getInstance("HmacSHA256");
             mac.init(new SecretKeySpec(key, "HmacSHA256"));
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException("a JDK without HmacSHA256", e);
+            throw new IllegalStateException("this JDK does not support HmacSHA256", e);
         }
     }
 
-    /** Checks a login; {@code then} is told on the loop, of a wrong one only after a while. */
-    void login(Credentials login, Consumer<Answer> then) {
+    /** Checks a login. {@code callback} is called on the event loop, after a delay if the secret is wrong. */
+    void login(Credentials login, Consumer<Result> callback) {
         AmqpConfig.User user = users.get(login.name());
         if (login.password().isEmpty()) {
-            then.accept(user == null ? Answer.WRONG : Answer.RIGHT);
+            callback.accept(user == null ? Result.REJECTED : Result.ACCEPTED);
             return;
         }
         byte[] code = mac.doFinal(login.password().get().getBytes(StandardCharsets.UTF_8));
-        byte[] right = proven.get(login.name());
-        if (right != null && MessageDigest.isEqual(right, code)) {
-            then.accept(Answer.RIGHT);
+        byte[] verified = verifiedMacs.get(login.name());
+        if (verified != null && MessageDigest.isEqual(verified, code)) {
+            callback.accept(Result.ACCEPTED);
             return;
         }
         String key = login.name() + "\0" + HexFormat.of().formatHex(code);
-        Try same = tries.get(key);
+        Check same = checksByKey.get(key);
         if (same != null) {
-            same.waiting.add(then);
+            same.callbacks.add(callback);
             return;
         }
-        Try fresh = new Try(user, login, new ArrayList<>(List.of(then)));
-        switch (guard.admit(login.name())) {
+        Check fresh = new Check(user, login, new ArrayList<>(List.of(callback)));
+        switch (throttle.admit(login.name())) {
             case CHECK -> {
-                tries.put(key, fresh);
+                checksByKey.put(key, fresh);
                 check(key, fresh, code);
             }
             case WAIT -> {
-                tries.put(key, fresh);
-                waiting.add(() -> {
-                    guard.startQueued(login.name());
+                checksByKey.put(key, fresh);
+                waitingChecks.add(() -> {
+                    throttle.startQueued(login.name());
                     check(key, fresh, code);
                 });
             }
-            case REJECT -> then.accept(Answer.TURNED_AWAY);
+            case REJECT -> callback.accept(Result.NOT_CHECKED);
             default -> throw new IllegalStateException();
         }
     }
 
-    private void check(String key, Try one, byte[] code) {
-        checks.execute(() -> {
-            // An unknown name costs what a known one does: else names could be told by the time that an answer takes.
+    private void check(String key, Check one, byte[] code) {
+        executor.execute(() -> {
+            // Unknown names take as long as known ones; otherwise the time to the answer would reveal which names exist.
             boolean known = one.user != null && one.user.secret().isPresent();
-            Secret secret = known ? one.user.secret().get() : Nobody.SECRET;
-            boolean right = secret.matches(one.login.password().get()) && known;
-            loop.execute(() -> checked(key, one, code, right));
+            Secret secret = known ? one.user.secret().get() : UnknownUser.SECRET;
+            boolean correct = secret.matches(one.login.password().get()) && known;
+            loop.execute(() -> checked(key, one, code, correct));
         });
     }
 
-    /** Made when it is first needed, and on the thread that needs it. */
-    private static final class Nobody {
+    /** Holds a secret for unknown names; computed on first use, on the thread that checks secrets. */
+    private static final class UnknownUser {
         private static final Secret SECRET = Secret.of("");
     }
 
-    private void checked(String key, Try one, byte[] code, boolean right) {
-        tries.remove(key);
-        if (guard.checkFinished()) {
-            waiting.pollFirst().run();
+    private void checked(String key, Check one, byte[] code, boolean correct) {
+        checksByKey.remove(key);
+        if (throttle.checkFinished()) {
+            waitingChecks.pollFirst().run();
         }
         String name = one.login.name();
-        if (right) {
-            proven.put(name, code);
-            one.waiting.forEach(then -> then.accept(Answer.RIGHT));
+        if (correct) {
+            verifiedMacs.put(name, code);
+            one.callbacks.forEach(callback -> callback.accept(Result.ACCEPTED));
             return;
         }
         Log.warn("amqp.login_refused", "user", name);
-        one.waiting.forEach(then -> loop.schedule(() -> {
-            guard.failureAnswered();
-            then.accept(Answer.WRONG);
-        }, (long) guard.recordFailure(name, System.nanoTime() / 1e6), TimeUnit.MILLISECONDS));
+        one.callbacks.forEach(callback -> loop.schedule(() -> {
+            throttle.failureAnswered();
+            callback.accept(Result.REJECTED);
+        }, (long) throttle.recordFailure(name, System.nanoTime() / 1e6), TimeUnit.MILLISECONDS));
     }
 }
--- a/src/main/java/slipfield/amqp/server/ConnectionReport.java
+++ b/src/main/java/slipfield/amqp/server/ConnectionReport.java
@@ -3,19 +3,19 @@
 import java.util.List;
 
 /**
- * A connection as people see it.
+ * The state of a connection, for display.
  *
- * @param user empty until it has logged in
- * @param paused it is not read, since too much of it is unsettled
- * @param readsNothing it does not take what it is sent
+ * @param user empty until the client has logged in
+ * @param paused whether it is not read because of too many unsettled messages
+ * @param readsNothing whether the client does not read what it is sent
  */
 public record ConnectionReport(String peer, String user, String state, boolean paused, boolean readsNothing,
         List<ChannelReport> channels) {
-    /** A channel: publishes without an end, consumers, and deliveries that are out to them. */
+    /** A channel: publications without a final answer, consumers, and their unsettled deliveries ({@code out}). */
     public record ChannelReport(int number, int unconfirmed, int consumers, int out) {
     }
 
-    /** Publishes without an end, of all its channels. */
+    /** Publications without a final answer on all channels. */
     public int unconfirmed() {
         return channels.stream().mapToInt(ChannelReport::unconfirmed).sum();
     }
--- a/src/main/java/slipfield/amqp/server/Credentials.java
+++ b/src/main/java/slipfield/amqp/server/Credentials.java
@@ -17,10 +17,10 @@
 import slipfield.amqp.codec.ReplyCode;
 
 /**
- * Who somebody claims to be: SASL PLAIN (RFC 4616), AMQPLAIN (a field table of LOGIN and PASSWORD), EXTERNAL (RFC 4422, by
- * the common name of a certificate that TLS has checked).
+ * The user name and password that a client sends to log in, by SASL PLAIN (RFC 4616), AMQPLAIN (a field table of LOGIN and
+ * PASSWORD) or EXTERNAL (RFC 4422; the name is the common name of a client certificate that TLS has verified).
  *
- * @param password absent: the certificate is proof
+ * @param password absent with EXTERNAL, where the certificate is the proof
  */
 record Credentials(String name, Optional<String> password) {
     static final String MECHANISMS = "PLAIN AMQPLAIN";
@@ -41,7 +41,7 @@
                 }
                 return new Credentials(name, Optional.of(password));
             case EXTERNAL:
-                return new Credentials(certified(ctx), Optional.empty());
+                return new Credentials(certificateName(ctx), Optional.empty());
             default:
                 throw refused("no mechanism '" + mechanism + "'; use PLAIN, AMQPLAIN or EXTERNAL");
         }
@@ -51,7 +51,7 @@
         return new AmqpError(ReplyCode.ACCESS_REFUSED, text, MethodId.CONNECTION_START_OK);
     }
 
-    private static String certified(ChannelHandlerContext ctx) throws AmqpError {
+    private static String certificateName(ChannelHandlerContext ctx) throws AmqpError {
         SslHandler tls = ctx.pipeline().get(SslHandler.class);
         if (tls == null) {
             throw refused("EXTERNAL needs TLS and a certificate; connect to the TLS port");
--- a/src/main/java/slipfield/amqp/server/ServerChannel.java
+++ b/src/main/java/slipfield/amqp/server/ServerChannel.java
@@ -24,7 +24,7 @@
 import slipfield.amqp.decide.PublisherConfirms;
 import slipfield.amqp.decide.UnackedDeliveries;
 
-/** A channel: what is published on it and confirmed, and what its consumers have out. */
+/** A channel with its publications, their confirms, and the deliveries to its consumers. */
 final class ServerChannel implements Publisher {
     private final ServerConnection connection;
     private final int number;
@@ -33,14 +33,14 @@
     private final PublisherConfirms confirms = new PublisherConfirms();
     private final ContentReader contents;
     private final AmqpConfig config;
-    /** Published and without an end, outside confirm mode too. */
+    /** Publications without a final answer, also those outside confirm mode. */
     private final Set<Publication> open = Collections.newSetFromMap(new IdentityHashMap<>());
     private Method publish;
-    /** Of a body that has begun to come and is not whole. */
-    private long begunOctets;
+    /** The size of the body that is being received; 0 if there is none. */
+    private long partialOctets;
     private boolean confirming;
     private boolean closing;
-    private int ownTags;
+    private int generatedTags;
 
     ServerChannel(ServerConnection connection, int number) {
         this.connection = connection;
@@ -78,80 +78,80 @@
         connection.send(number, id, arguments);
     }
 
-    // ---- what comes ----
+    // ---- incoming frames ----
 
-    void take(Frame frame) throws AmqpError {
+    void handle(Frame frame) throws AmqpError {
         if (closing) {
-            // What was on its way before the peer has heard of the close: specification, channel.close.
-            closing(frame);
+            // Frames that were sent before the peer received the close are discarded: specification, channel.close.
+            handleWhileClosing(frame);
         } else if (frame instanceof Frame.OfMethod m) {
             contents.method(m.method());
-            method(m.method());
+            handleMethod(m.method());
         } else if (frame instanceof Frame.OfHeader h) {
-            boolean whole = contents.header(h);
-            if (!connection.server().pressure().tryStartBody(connection.id(), h.bodySize())) {
+            boolean complete = contents.header(h);
+            if (!connection.server().backpressure().tryStartBody(connection.id(), h.bodySize())) {
                 throw new AmqpError(ReplyCode.RESOURCE_ERROR, "too many bodies are begun at once; send each whole",
                         MethodId.BASIC_PUBLISH);
             }
-            begunOctets = h.bodySize();
-            whole(whole);
+            partialOctets = h.bodySize();
+            contentRead(complete);
         } else if (frame instanceof Frame.OfBody b) {
-            whole(contents.body(b));
+            contentRead(contents.body(b));
         }
     }
 
-    private void closing(Frame frame) {
+    private void handleWhileClosing(Frame frame) {
         if (frame instanceof Frame.OfBody b) {
             ReferenceCountUtil.release(b.octets());
         } else if (frame instanceof Frame.OfMethod m && m.method().id() == MethodId.CHANNEL_CLOSE_OK) {
-            connection.closed(number);
+            connection.removeChannel(number);
         } else if (frame instanceof Frame.OfMethod m && m.method().id() == MethodId.CHANNEL_CLOSE) {
             answer(MethodId.CHANNEL_CLOSE_OK);
         }
     }
 
-    private void whole(boolean whole) {
-        if (!whole) {
+    private void contentRead(boolean complete) {
+        if (!complete) {
             return;
         }
-        bodyEnded();
+        bodyDone();
         Publication publication = new Publication(confirming ? confirms.assignTag() : 0, user(),
-                publish.text("exchange"), publish.text("routing-key"), contents.properties(), contents.take());
+                publish.text("exchange"), publish.text("routing-key"), contents.properties(), contents.takeBody());
         open.add(publication);
-        load(1, publication);
-        connection.server().publishing().published(this, publication);
+        addLoad(1, publication);
+        connection.server().publishHandler().published(this, publication);
     }
 
-    private void bodyEnded() {
-        connection.server().pressure().bodyDone(connection.id(), begunOctets);
-        begunOctets = 0;
+    private void bodyDone() {
+        connection.server().backpressure().bodyDone(connection.id(), partialOctets);
+        partialOctets = 0;
     }
 
-    private void load(int sign, Publication publication) {
-        connection.server().pressure().addLoad(connection.id(), sign, sign * (long) publication.body().length);
+    private void addLoad(int sign, Publication publication) {
+        connection.server().backpressure().addLoad(connection.id(), sign, sign * (long) publication.body().length);
         connection.updateReading();
         if (sign < 0) {
-            connection.server().relieved();
+            connection.server().resumePaused();
         }
     }
 
-    private void method(Method method) throws AmqpError {
+    private void handleMethod(Method method) throws AmqpError {
         MethodId id = method.id();
         switch (id) {
             case CHANNEL_CLOSE -> {
-                end();
+                release();
                 answer(MethodId.CHANNEL_CLOSE_OK);
-                connection.closed(number);
+                connection.removeChannel(number);
             }
             case CHANNEL_FLOW -> {
                 deliveries.flow(method.flag("active"));
                 answer(MethodId.CHANNEL_FLOW_OK, method.flag("active"));
-                room();
+                reportCapacity();
             }
             case CHANNEL_FLOW_OK, CHANNEL_CLOSE_OK -> { }
-            case EXCHANGE_DECLARE -> declare(method);
-            case QUEUE_DECLARE -> queue(method);
-            case QUEUE_BIND -> bind(method);
+            case EXCHANGE_DECLARE -> declareExchange(method);
+            case QUEUE_DECLARE -> declareQueue(method);
+            case QUEUE_BIND -> bindQueue(method);
             case EXCHANGE_DELETE, EXCHANGE_BIND, EXCHANGE_UNBIND, QUEUE_DELETE, QUEUE_UNBIND, QUEUE_PURGE ->
                 throw new AmqpError(ReplyCode.ACCESS_REFUSED, id + ": exchanges, queues and bindings are in the operator's "
                         + "file alone; change them there", id);
@@ -161,7 +161,7 @@
                 }
                 deliveries.qos((int) method.number("prefetch-count"), method.flag("global"));
                 answer(MethodId.BASIC_QOS_OK);
-                room();
+                reportCapacity();
             }
             case BASIC_CONSUME -> consume(method);
             case BASIC_CANCEL -> {
@@ -170,15 +170,15 @@
                     answer(MethodId.BASIC_CANCEL_OK, method.text("consumer-tag"));
                 }
             }
-            case BASIC_PUBLISH -> mayPublish(method);
+            case BASIC_PUBLISH -> startPublish(method);
             case BASIC_GET -> {
-                // A queue keeps nothing: what is held goes to who consumes. So there is never one to get.
-                readable(method.text("queue"), id);
+                // Queues store nothing; pending messages are delivered to consumers. So there is never a message to get.
+                consumableQueue(method.text("queue"), id);
                 answer(MethodId.BASIC_GET_EMPTY, "");
             }
-            case BASIC_ACK -> settled(method, method.flag("multiple"), Receiver.Settlement.ACKED);
-            case BASIC_NACK -> settled(method, method.flag("multiple"), requeued(method));
-            case BASIC_REJECT -> settled(method, false, requeued(method));
+            case BASIC_ACK -> settle(method, method.flag("multiple"), Receiver.Settlement.ACKED);
+            case BASIC_NACK -> settle(method, method.flag("multiple"), negativeSettlement(method));
+            case BASIC_REJECT -> settle(method, false, negativeSettlement(method));
             case BASIC_RECOVER, BASIC_RECOVER_ASYNC -> throw new AmqpError(ReplyCode.NOT_IMPLEMENTED,
                     id + ": which attempt comes next is decided here; nack what is to go elsewhere", id);
             case CONFIRM_SELECT -> {
@@ -197,11 +197,11 @@
         }
     }
 
-    private static Receiver.Settlement requeued(Method method) {
+    private static Receiver.Settlement negativeSettlement(Method method) {
         return method.flag("requeue") ? Receiver.Settlement.REQUEUED : Receiver.Settlement.REJECTED;
     }
 
-    private void declare(Method m) throws AmqpError {
+    private void declareExchange(Method m) throws AmqpError {
         String exchange = m.text("exchange");
         if (!config.routes().hasExchange(exchange)) {
             throw new AmqpError(ReplyCode.NOT_FOUND, "no exchange '" + exchange + "' in the operator's file", m.id());
@@ -214,19 +214,19 @@
         }
     }
 
-    private void queue(Method m) throws AmqpError {
-        AmqpConfig.Queue queue = readable(m.text("queue"), m.id());
+    private void declareQueue(Method m) throws AmqpError {
+        AmqpConfig.Queue queue = consumableQueue(m.text("queue"), m.id());
         if (!m.flag("passive") && m.flag("exclusive")) {
             throw new AmqpError(ReplyCode.RESOURCE_LOCKED, "queue '" + queue.name() + "' is shared", m.id());
         }
         if (!m.flag("no-wait")) {
             answer(MethodId.QUEUE_DECLARE_OK, queue.name(), 0L,
-                    (long) connection.server().consuming().consumerCount(queue.name()));
+                    (long) connection.server().consumerHandler().consumerCount(queue.name()));
         }
     }
 
-    private void bind(Method m) throws AmqpError {
-        readable(m.text("queue"), m.id());
+    private void bindQueue(Method m) throws AmqpError {
+        consumableQueue(m.text("queue"), m.id());
         if (!config.routes().hasBinding(m.text("exchange"), m.text("routing-key"))) {
             throw new AmqpError(ReplyCode.ACCESS_REFUSED, "no such binding in the operator's file; add it there", m.id());
         }
@@ -235,7 +235,7 @@
         }
     }
 
-    private AmqpConfig.Queue readable(String name, MethodId id) throws AmqpError {
+    private AmqpConfig.Queue consumableQueue(String name, MethodId id) throws AmqpError {
         AmqpConfig.Queue queue = config.queues().get(name);
         if (queue == null) {
             throw new AmqpError(ReplyCode.NOT_FOUND, "no queue '" + name + "' in the operator's file", id);
@@ -247,7 +247,7 @@
         return queue;
     }
 
-    private void mayPublish(Method m) throws AmqpError {
+    private void startPublish(Method m) throws AmqpError {
         String exchange = m.text("exchange");
         if (!confirming && !config.unconfirmed()) {
             throw new AmqpError(ReplyCode.PRECONDITION_FAILED, "a final answer is owed for each message; send "
@@ -266,18 +266,18 @@
     // ---- consumers ----
 
     private void consume(Method m) throws AmqpError {
-        AmqpConfig.Queue queue = readable(m.text("queue"), m.id());
+        AmqpConfig.Queue queue = consumableQueue(m.text("queue"), m.id());
         if (m.flag("no-ack")) {
             throw new AmqpError(ReplyCode.PRECONDITION_FAILED, "without acks no message would have an end; consume with "
                     + "no-ack off", m.id());
         }
         String tag = m.text("consumer-tag").isEmpty() ? connection.server().epoch() + "-" + connection.id() + "." + number
-                + "." + ++ownTags : m.text("consumer-tag");
+                + "." + ++generatedTags : m.text("consumer-tag");
         if (subscriptions.containsKey(tag)) {
             throw new AmqpError(ReplyCode.NOT_ALLOWED, "consumer tag '" + tag + "' is in use on this channel", m.id());
         }
         Subscription subscription = new Subscription(this, queue, tag, m.table("arguments"));
-        if (!connection.server().consuming().canAdd(subscription, m.flag("exclusive"))) {
+        if (!connection.server().consumerHandler().canAdd(subscription, m.flag("exclusive"))) {
             throw new AmqpError(ReplyCode.ACCESS_REFUSED, "queue '" + queue.name() + "' has an exclusive consumer, or one "
                     + "of this name; use another consumer tag", m.id());
         }
@@ -286,31 +286,31 @@
         if (!m.flag("no-wait")) {
             answer(MethodId.BASIC_CONSUME_OK, tag);
         }
-        connection.server().consuming().consumerAdded(subscription, m.flag("exclusive"));
+        connection.server().consumerHandler().consumerAdded(subscription, m.flag("exclusive"));
     }
 
     private void cancel(String tag) {
-        Subscription left = subscriptions.remove(tag);
-        if (left != null) {
+        Subscription removed = subscriptions.remove(tag);
+        if (removed != null) {
             deliveries.removeConsumer(tag);
-            connection.server().consuming().consumerRemoved(left);
+            connection.server().consumerHandler().consumerRemoved(removed);
         }
     }
 
-    private void settled(Method m, boolean multiple, Receiver.Settlement how) throws AmqpError {
+    private void settle(Method m, boolean multiple, Receiver.Settlement settlement) throws AmqpError {
         Optional<List<UnackedDeliveries.Delivery<Receiver.SettlementListener>>> settled =
                 deliveries.settle(m.number("delivery-tag"), multiple);
         if (settled.isEmpty()) {
             throw new AmqpError(ReplyCode.PRECONDITION_FAILED, "no delivery " + m.number("delivery-tag")
                     + " is out on this channel; settle each once", m.id());
         }
-        settled.get().forEach(one -> one.payload().settled(how, 0));
-        room();
+        settled.get().forEach(one -> one.payload().settled(settlement, 0));
+        reportCapacity();
     }
 
-    /** Its consumers may have room again. */
-    void room() {
-        subscriptions.values().forEach(connection.server().consuming()::capacityFreed);
+    /** Reports that its consumers may have capacity again. */
+    void reportCapacity() {
+        subscriptions.values().forEach(connection.server().consumerHandler()::capacityFreed);
     }
 
     // ---- publishers ----
@@ -334,7 +334,7 @@
             if (publication.tag() > 0) {
                 confirms.settle(publication.tag(), ack);
             }
-            load(-1, publication);
+            addLoad(-1, publication);
         }
     }
 
@@ -349,12 +349,12 @@
         }
     }
 
-    /** Publishes that have no end yet. */
-    int open() {
+    /** The number of publications without a final answer. */
+    int unconfirmedCount() {
         return open.size();
     }
 
-    // ---- the end ----
+    // ---- timeouts and closing ----
 
     void sweep(double now) {
         Optional<Double> oldest = deliveries.oldestSentMs();
@@ -368,26 +368,26 @@
         if (closing) {
             return;
         }
-        end();
+        release();
         answer(MethodId.CHANNEL_CLOSE, e.code().number(), e.getMessage(), e.classId(), e.methodId());
     }
 
-    /** It is gone, or will be: nothing more of it is settled. */
-    void end() {
+    /** Releases everything of this channel, which is closed or about to be: nothing more of it is settled. */
+    void release() {
         if (closing) {
             return;
         }
         closing = true;
-        bodyEnded();
+        bodyDone();
         List.copyOf(subscriptions.keySet()).forEach(this::cancel);
-        // After its consumers: what is decided next must not go to one of them.
+        // After the consumers are removed: attempts that follow from these losses must not go to one of them.
         new ArrayList<>(deliveries.settle(0, true).orElseThrow())
                 .forEach(one -> one.payload().settled(Receiver.Settlement.LOST, 0));
         for (Publication publication : open) {
-            connection.server().pressure().addLoad(connection.id(), -1, -publication.body().length);
+            connection.server().backpressure().addLoad(connection.id(), -1, -publication.body().length);
         }
         open.clear();
-        connection.server().publishing().publisherClosed(this);
-        connection.server().relieved();
+        connection.server().publishHandler().publisherClosed(this);
+        connection.server().resumePaused();
     }
 }
--- a/src/main/java/slipfield/amqp/server/ServerConnection.java
+++ b/src/main/java/slipfield/amqp/server/ServerConnection.java
@@ -29,16 +29,16 @@
 import slipfield.config.Config;
 import slipfield.log.Log;
 
-/** A client's connection: its opening, its channels, its end. Specification 0-9-1, 2.2.4 and the class connection. */
+/** A client connection: handshake, channels and close. Specification 0-9-1, 2.2.4 and class connection. */
 final class ServerConnection extends ChannelInboundHandlerAdapter {
-    /** From connecting until it is open. A login that waits for its check may take most of that. */
+    /** Limit from connecting until the connection is open. A login that waits for its check may take most of that time. */
     private static final double OPEN_MS = 20_000;
-    /** From {@code connection.close} to the socket's close, where the peer does not answer. */
+    /** Time from {@code connection.close} until the socket is closed if the peer does not answer. */
     private static final long CLOSE_MS = 2000;
-    /** A peer that does not read what it is sent is gone after so long. */
-    private static final double STUCK_MS = 30_000;
-    /** While the sender ends, consumers stay for so long after the last delivery: others may still be held. */
-    private static final double QUIET_MS = 500;
+    /** A connection whose peer does not read is closed after this time. */
+    private static final double UNWRITABLE_MS = 30_000;
+    /** During the shutdown, consumers stay connected this long after the last delivery: more messages may be pending. */
+    private static final double SHUTDOWN_QUIET_MS = 500;
     private static final byte[] PROTOCOL = {'A', 'M', 'Q', 'P', 0, 0, 9, 1};
 
     private final AmqpServer server;
@@ -48,17 +48,17 @@
     private final FrameEncoder encoder;
     private final Deque<Object> inbox = new ArrayDeque<>();
     private final Map<Integer, ServerChannel> channels = new TreeMap<>();
-    private final double begunMs;
+    private final double connectedMs;
     private State state = State.PROTOCOL;
     private ChannelHandlerContext ctx;
     private AmqpConfig.User user;
     private Tuning tuning;
-    private HeartbeatMonitor liveness;
-    private boolean blockable;
+    private HeartbeatMonitor heartbeats;
+    private boolean supportsBlocked;
     private boolean blocked;
-    /** Since when it takes nothing more; 0: it does. */
-    private double stuckMs;
-    private double lastOutMs;
+    /** The time since which the channel is not writable; 0 if it is writable. */
+    private double unwritableSinceMs;
+    private double lastUnsettledMs;
 
     private enum State {
         PROTOCOL, START_OK, LOGIN, TUNE_OK, OPEN, IN_SERVICE, CLOSING, GONE
@@ -70,8 +70,8 @@
         this.channel = channel;
         this.decoder = decoder;
         this.encoder = encoder;
-        this.begunMs = server.nowMs();
-        this.lastOutMs = begunMs;
+        this.connectedMs = server.nowMs();
+        this.lastUnsettledMs = connectedMs;
     }
 
     int id() {
@@ -90,7 +90,7 @@
         return channel.isWritable();
     }
 
-    // ---- what comes ----
+    // ---- incoming frames ----
 
     @Override
     public void handlerAdded(ChannelHandlerContext context) {
@@ -99,8 +99,8 @@
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object frame) {
-        if (liveness != null) {
-            liveness.received(server.nowMs());
+        if (heartbeats != null) {
+            heartbeats.received(server.nowMs());
         }
         if (state == State.GONE) {
             ReferenceCountUtil.release(body(frame));
@@ -120,19 +120,19 @@
         return frame instanceof Frame.OfBody b ? b.octets() : frame;
     }
 
-    /** Looks at the frame that came first; whether there are more. */
-    boolean takeOne() {
+    /** Handles the oldest frame. Returns whether there are more. */
+    boolean handleNextFrame() {
         Object frame = inbox.pollFirst();
         if (frame != null) {
             try {
                 if (frame instanceof AmqpError error) {
                     throw error;
                 }
-                take((Frame) frame);
+                handle((Frame) frame);
             } catch (AmqpError e) {
                 fail(((frame instanceof Frame f) ? f.channel() : 0), e);
             } catch (RuntimeException e) {
-                // A fault over one frame must not leave other connections unserved.
+                // An unexpected exception closes this connection only; the others must still be served.
                 Log.error("amqp.fault", "cause", e);
                 fail(0, new AmqpError(ReplyCode.INTERNAL_ERROR, "this is our fault; connect again"));
             }
@@ -143,21 +143,21 @@
         return !inbox.isEmpty();
     }
 
-    private void take(Frame frame) throws AmqpError {
+    private void handle(Frame frame) throws AmqpError {
         if (state == State.CLOSING) {
             ReferenceCountUtil.release(body(frame));
             if (frame instanceof Frame.OfMethod m && m.method().id() == MethodId.CONNECTION_CLOSE_OK) {
                 channel.close();
             } else if (frame instanceof Frame.OfMethod m && m.method().id() == MethodId.CONNECTION_CLOSE) {
-                // Both sides close at once: each answers.
+                // Both sides sent connection.close at the same time: each answers.
                 send(MethodId.CONNECTION_CLOSE_OK);
             }
             return;
         }
         if (frame.channel() > 0 && state == State.IN_SERVICE) {
-            ofChannel(frame);
+            handleChannelFrame(frame);
         } else if (frame instanceof Frame.OfMethod m && frame.channel() == 0) {
-            ofConnection(m.method());
+            handleConnectionMethod(m.method());
         } else if (frame instanceof Frame.ProtocolHeader && state == State.PROTOCOL) {
             start();
         } else {
@@ -168,27 +168,27 @@
         }
     }
 
-    private void ofChannel(Frame frame) throws AmqpError {
-        ServerChannel of = channels.get(frame.channel());
+    private void handleChannelFrame(Frame frame) throws AmqpError {
+        ServerChannel target = channels.get(frame.channel());
         MethodId id = frame instanceof Frame.OfMethod m ? m.method().id() : null;
         if (id == MethodId.CHANNEL_OPEN) {
             if (frame.channel() > tuning.channelMax()) {
                 throw new AmqpError(ReplyCode.NOT_ALLOWED, "channel " + frame.channel() + " is over the "
                         + tuning.channelMax() + " that were agreed on", id);
             }
-            if (of != null) {
+            if (target != null) {
                 throw new AmqpError(ReplyCode.CHANNEL_ERROR, "channel " + frame.channel() + " is open already", id);
             }
             channels.put(frame.channel(), new ServerChannel(this, frame.channel()));
             send(frame.channel(), MethodId.CHANNEL_OPEN_OK, "");
-        } else if (of == null) {
+        } else if (target == null) {
             ReferenceCountUtil.release(body(frame));
             if (id != MethodId.CHANNEL_CLOSE_OK && id != MethodId.CHANNEL_CLOSE) {
                 throw new AmqpError(ReplyCode.CHANNEL_ERROR, "channel " + frame.channel() + " is not open; send "
                         + "channel.open first");
             }
         } else {
-            of.take(frame);
+            target.handle(frame);
         }
     }
 
@@ -202,50 +202,50 @@
                 Credentials.MECHANISMS + (certificates ? " " + Credentials.EXTERNAL : ""), "en_US");
     }
 
-    private void ofConnection(Method method) throws AmqpError {
-        MethodId got = method.id();
-        if (got == MethodId.CONNECTION_CLOSE) {
-            endChannels();
+    private void handleConnectionMethod(Method method) throws AmqpError {
+        MethodId id = method.id();
+        if (id == MethodId.CONNECTION_CLOSE) {
+            releaseChannels();
             state = State.CLOSING;
             send(MethodId.CONNECTION_CLOSE_OK).addListener(ChannelFutureListener.CLOSE);
-        } else if (got == MethodId.CONNECTION_START_OK && state == State.START_OK) {
+        } else if (id == MethodId.CONNECTION_START_OK && state == State.START_OK) {
             login(method);
-        } else if (got == MethodId.CONNECTION_TUNE_OK && state == State.TUNE_OK) {
-            tuned(method);
-        } else if (got == MethodId.CONNECTION_OPEN && state == State.OPEN) {
+        } else if (id == MethodId.CONNECTION_TUNE_OK && state == State.TUNE_OK) {
+            acceptTune(method);
+        } else if (id == MethodId.CONNECTION_OPEN && state == State.OPEN) {
             String host = method.text("virtual-host");
             if (!server.config().virtualHosts().contains(host)) {
                 throw new AmqpError(ReplyCode.NOT_ALLOWED, "no virtual host '" + host + "'; the operator's file has "
-                        + server.config().virtualHosts(), got);
+                        + server.config().virtualHosts(), id);
             }
             state = State.IN_SERVICE;
             send(0, MethodId.CONNECTION_OPEN_OK, "");
-        } else if (state == State.IN_SERVICE && (got == MethodId.CONNECTION_BLOCKED || got == MethodId.CONNECTION_UNBLOCKED)) {
+        } else if (state == State.IN_SERVICE && (id == MethodId.CONNECTION_BLOCKED || id == MethodId.CONNECTION_UNBLOCKED)) {
             return;
-        } else if (got == MethodId.CONNECTION_UPDATE_SECRET) {
-            throw new AmqpError(ReplyCode.NOT_IMPLEMENTED, "secrets do not run out here; connect anew with another", got);
+        } else if (id == MethodId.CONNECTION_UPDATE_SECRET) {
+            throw new AmqpError(ReplyCode.NOT_IMPLEMENTED, "secrets do not run out here; connect anew with another", id);
         } else {
-            throw new AmqpError(ReplyCode.COMMAND_INVALID, got + " is not for now", got);
+            throw new AmqpError(ReplyCode.COMMAND_INVALID, id + " is not for now", id);
         }
     }
 
     private void login(Method startOk) throws AmqpError {
         Credentials login = Credentials.read(startOk.text("mechanism"), startOk.octets("response"), ctx);
-        blockable = startOk.table("client-properties").get("capabilities") instanceof Map<?, ?> c
+        supportsBlocked = startOk.table("client-properties").get("capabilities") instanceof Map<?, ?> c
                 && Boolean.TRUE.equals(c.get("connection.blocked"));
         state = State.LOGIN;
-        server.logins().login(login, answer -> {
+        server.authenticator().login(login, result -> {
             if (state != State.LOGIN) {
                 return;
             }
-            if (answer == Authenticator.Answer.RIGHT) {
+            if (result == Authenticator.Result.ACCEPTED) {
                 user = server.config().users().get(login.name());
                 state = State.TUNE_OK;
                 Tuning offer = server.config().limits().tuning();
                 send(0, MethodId.CONNECTION_TUNE, offer.channelMax(), (long) offer.frameMax(),
                         (int) (offer.heartbeatMs() / 1000));
             } else {
-                fail(0, answer == Authenticator.Answer.WRONG
+                fail(0, result == Authenticator.Result.REJECTED
                         ? new AmqpError(ReplyCode.ACCESS_REFUSED, "login refused for this name and secret",
                                 MethodId.CONNECTION_START_OK)
                         : new AmqpError(ReplyCode.RESOURCE_ERROR, "too many log in at once; connect again in a while",
@@ -254,7 +254,7 @@
         });
     }
 
-    private void tuned(Method tuneOk) throws AmqpError {
+    private void acceptTune(Method tuneOk) throws AmqpError {
         Optional<Tuning> chosen = server.config().limits().tuning().acceptTuneOk(tuneOk.number("channel-max"),
                 tuneOk.number("frame-max"), tuneOk.number("heartbeat"));
         if (chosen.isEmpty()) {
@@ -263,15 +263,15 @@
         tuning = chosen.get();
         decoder.frameMax(tuning.frameMax());
         encoder.frameMax(tuning.frameMax());
-        liveness = new HeartbeatMonitor(tuning.heartbeatMs(), server.nowMs());
+        heartbeats = new HeartbeatMonitor(tuning.heartbeatMs(), server.nowMs());
         state = State.OPEN;
     }
 
-    // ---- what goes out ----
+    // ---- outgoing frames ----
 
     ChannelFuture write(Frame frame) {
-        if (liveness != null) {
-            liveness.sent(server.nowMs());
+        if (heartbeats != null) {
+            heartbeats.sent(server.nowMs());
         }
         return channel.writeAndFlush(frame);
     }
@@ -284,18 +284,18 @@
         return write(new Frame.OfMethod(0, Method.of(id)));
     }
 
-    /** A soft error ends its channel, a hard one the connection. */
+    /** A soft error closes its channel, a hard one the connection. */
     private void fail(int number, AmqpError e) {
-        ServerChannel of = channels.get(number);
-        if (!e.code().hard() && of != null) {
-            of.fail(e);
+        ServerChannel target = channels.get(number);
+        if (!e.code().hard() && target != null) {
+            target.fail(e);
             return;
         }
         if (state == State.GONE || state == State.CLOSING) {
             return;
         }
         if (state == State.PROTOCOL) {
-            // Whatever speaks there: it is told what is spoken here, and no more. Specification 4.2.2.
+            // The peer uses another protocol: it gets the supported protocol header and is disconnected. Specification 4.2.2.
             state = State.CLOSING;
             channel.writeAndFlush(channel.alloc().buffer().writeBytes(PROTOCOL)).addListener(ChannelFutureListener.CLOSE);
             return;
@@ -305,30 +305,30 @@
     }
 
     private void close(ReplyCode code, String text, int classId, int methodId) {
-        endChannels();
+        releaseChannels();
         state = State.CLOSING;
         send(0, MethodId.CONNECTION_CLOSE, code.number(), text, classId, methodId);
         server.loop().schedule(() -> channel.close(), CLOSE_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void endChannels() {
-        channels.values().forEach(ServerChannel::end);
+    private void releaseChannels() {
+        channels.values().forEach(ServerChannel::release);
         channels.clear();
     }
 
-    void closed(int number) {
+    void removeChannel(int number) {
         channels.remove(number);
     }
 
-    // ---- flow and time ----
+    // ---- flow control and timeouts ----
 
-    /** Reads no further while something of it waits, while it has too much unsettled, or reads nothing itself. */
+    /** Pauses reading while frames are unhandled, while backpressure applies, or while the peer does not read. */
     void updateReading() {
-        boolean block = !server.pressure().mayRead(id);
-        channel.config().setAutoRead(inbox.isEmpty() && !block && channel.isWritable() || state == State.CLOSING);
-        if (blockable && state == State.IN_SERVICE && block != blocked) {
-            blocked = block;
-            if (block) {
+        boolean pause = !server.backpressure().mayRead(id);
+        channel.config().setAutoRead(inbox.isEmpty() && !pause && channel.isWritable() || state == State.CLOSING);
+        if (supportsBlocked && state == State.IN_SERVICE && pause != blocked) {
+            blocked = pause;
+            if (pause) {
                 send(0, MethodId.CONNECTION_BLOCKED, "too much is unsettled; publish on when it is confirmed");
             } else {
                 send(0, MethodId.CONNECTION_UNBLOCKED);
@@ -338,10 +338,10 @@
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
-        stuckMs = channel.isWritable() ? 0 : server.nowMs();
+        unwritableSinceMs = channel.isWritable() ? 0 : server.nowMs();
         updateReading();
         if (channel.isWritable()) {
-            channels.values().forEach(ServerChannel::room);
+            channels.values().forEach(ServerChannel::reportCapacity);
         }
     }
 
@@ -349,17 +349,18 @@
         if (state == State.GONE) {
             return;
         }
-        if (state.ordinal() < State.IN_SERVICE.ordinal() && now - begunMs > OPEN_MS
-                || stuckMs > 0 && now - stuckMs > STUCK_MS) {
-            Log.warn("amqp.connection_cut", "peer", peer(), "cause", stuckMs > 0 ? "reads nothing" : "not opened in time");
+        if (state.ordinal() < State.IN_SERVICE.ordinal() && now - connectedMs > OPEN_MS
+                || unwritableSinceMs > 0 && now - unwritableSinceMs > UNWRITABLE_MS) {
+            Log.warn("amqp.connection_cut", "peer", peer(), "cause",
+                    unwritableSinceMs > 0 ? "reads nothing" : "not opened in time");
             channel.close();
             return;
         }
-        if (liveness != null && state == State.IN_SERVICE) {
-            switch (liveness.due(now, channel.config().isAutoRead())) {
+        if (heartbeats != null && state == State.IN_SERVICE) {
+            switch (heartbeats.due(now, channel.config().isAutoRead())) {
                 case SEND_HEARTBEAT -> write(new Frame.Heartbeat());
                 case PEER_LOST -> {
-                    Log.warn("amqp.connection_cut", "peer", peer(), "cause", "two heartbeats missed");
+                    Log.warn("amqp.connection_cut", "peer", peer(), "cause", "nothing received for two heartbeat intervals");
                     channel.close();
                 }
                 default -> { }
@@ -368,20 +369,21 @@
         List.copyOf(channels.values()).forEach(c -> c.sweep(now));
     }
 
-    /** Whether a publisher waits for an answer here. */
-    boolean owes() {
-        return channels.values().stream().anyMatch(c -> c.open() > 0);
+    /** Whether any of its publications has no final answer yet. */
+    boolean hasUnconfirmed() {
+        return channels.values().stream().anyMatch(c -> c.unconfirmedCount() > 0);
     }
 
-    /** While the sender ends: {@code published}: publishers still wait for answers, here or elsewhere. */
-    void closeIdle(boolean published, double closingForMs) {
-        int out = channels.values().stream().mapToInt(c -> c.deliveries().count()).sum();
+    /** Closes it during the shutdown once it is idle. {@code unconfirmed}: some connection has publications without answer. */
+    void closeIdle(boolean unconfirmed, double closingForMs) {
+        int unsettled = channels.values().stream().mapToInt(c -> c.deliveries().count()).sum();
         double now = server.nowMs();
-        if (out > 0) {
-            lastOutMs = now;
+        if (unsettled > 0) {
+            lastUnsettledMs = now;
         }
         boolean consumes = channels.values().stream().anyMatch(c -> !c.deliveries().consumers().isEmpty());
-        boolean done = !owes() && out == 0 && (!consumes || !published && closingForMs > QUIET_MS && now - lastOutMs > QUIET_MS);
+        boolean done = !hasUnconfirmed() && unsettled == 0 && (!consumes
+                || !unconfirmed && closingForMs > SHUTDOWN_QUIET_MS && now - lastUnsettledMs > SHUTDOWN_QUIET_MS);
         if (done && state == State.IN_SERVICE) {
             close(ReplyCode.CONNECTION_FORCED, "CONNECTION_FORCED - the sender ends; connect again, or to another", 0, 0);
         } else if (done && state != State.CLOSING) {
@@ -389,16 +391,16 @@
         }
     }
 
-    // ---- the end ----
+    // ---- close and report ----
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        endChannels();
+        releaseChannels();
         state = State.GONE;
         inbox.forEach(frame -> ReferenceCountUtil.release(body(frame)));
         inbox.clear();
-        server.gone(this);
-        server.relieved();
+        server.connectionClosed(this);
+        server.resumePaused();
     }
 
     @Override
@@ -415,10 +417,10 @@
 
     ConnectionReport report() {
         List<ConnectionReport.ChannelReport> each = channels.entrySet().stream().map(c -> new ConnectionReport.ChannelReport(
-                c.getKey(), c.getValue().open(), c.getValue().deliveries().consumers().size(),
+                c.getKey(), c.getValue().unconfirmedCount(), c.getValue().deliveries().consumers().size(),
                 c.getValue().deliveries().count())).toList();
         return new ConnectionReport(peer(), user == null ? "" : user.name(), state.name().toLowerCase(Locale.ROOT),
-                !server.pressure().mayRead(id), !channel.isWritable(), each);
+                !server.backpressure().mayRead(id), !channel.isWritable(), each);
     }
 
 }
--- a/src/main/java/slipfield/amqp/server/Subscription.java
+++ b/src/main/java/slipfield/amqp/server/Subscription.java
@@ -10,7 +10,7 @@
 import slipfield.amqp.codec.Properties;
 import slipfield.amqp.decide.ConsumerRegistry;
 
-/** A consumer of a queue. */
+/** A consumer of a queue on a channel of this server. */
 final class Subscription implements Receiver {
     private final ServerChannel channel;
     private final AmqpConfig.Queue queue;
@@ -34,7 +34,7 @@
         return ConsumerRegistry.endpointName(queue.name(), channel.user().name(), tag);
     }
 
-    /** Its {@code x-priority}. */
+    /** The argument {@code x-priority}; 0 if it is absent. */
     @Override
     public int priority() {
         return arguments.get("x-priority") instanceof Number n ? n.intValue() : 0;
@@ -51,8 +51,8 @@
     }
 
     @Override
-    public ChannelFuture deliver(Properties properties, byte[] body, boolean redelivered, SettlementListener then) {
-        long number = channel.deliveries().deliver(tag, then, channel.nowMs());
+    public ChannelFuture deliver(Properties properties, byte[] body, boolean redelivered, SettlementListener listener) {
+        long number = channel.deliveries().deliver(tag, listener, channel.nowMs());
         Method method = Method.of(MethodId.BASIC_DELIVER, tag, number, redelivered, "", queue.name());
         return channel.send(new Frame.Content(channel.number(), method, properties, body));
     }
--- a/src/test/java/slipfield/amqp/server/ServerFuzzTest.java
+++ b/src/test/java/slipfield/amqp/server/ServerFuzzTest.java
@@ -32,14 +32,14 @@
 import slipfield.amqp.codec.ReplyCode;
 
 /**
- * Connections in memory that are sent good frames in a bad order, and spoilt ones: whatever comes, no exception escapes, each
- * buffer is given back, each publication that was taken is ended or left once, and nothing is counted for who is gone.
+ * Sends valid frames in a wrong order, and corrupted frames, to in-memory connections. No exception may escape, every buffer
+ * must be released, every accepted publication must be settled or dropped once, and a closed connection must leave no load.
  */
 class ServerFuzzTest {
     private final PooledByteBufAllocator counting = new PooledByteBufAllocator(false, 1, 0, 8192, 3);
-    /** The first so many pieces do no harm to a channel that is open. */
-    private static final int GOOD = 9;
-    /** The core's loop; what it has to do is done when a test says so. */
+    /** The first pieces, up to this index, are valid on an open channel. */
+    private static final int VALID_PIECES = 9;
+    /** The core's event loop; its tasks run when the test calls them. */
     private final EmbeddedChannel loop = new EmbeddedChannel();
     private final Random random = new Random(20_261_201);
     private final List<Receiver> consumers = new ArrayList<>();
@@ -49,7 +49,7 @@
     @TempDir
     private Path folder;
 
-    private final class Core implements PublishHandler, ConsumerHandler {
+    private final class FakeCore implements PublishHandler, ConsumerHandler {
         @Override
         public void published(Publisher from, Publication publication) {
             published++;
@@ -68,7 +68,7 @@
         public void batchEnded() {
             for (Receiver r : consumers) {
                 while (r.hasCapacity() && random.nextBoolean()) {
-                    r.deliver(Properties.NONE, new byte[random.nextInt(5000)], false, (how, waitMs) -> { });
+                    r.deliver(Properties.NONE, new byte[random.nextInt(5000)], false, (settlement, waitMs) -> { });
                 }
             }
         }
@@ -90,12 +90,12 @@
 
         @Override
         public void consumerRemoved(Receiver receiver) {
-            assertTrue(consumers.remove(receiver), "one left that had not come");
+            assertTrue(consumers.remove(receiver), "a consumer was removed that had not been added");
         }
 
         @Override
         public void capacityFreed(Receiver receiver) {
-            assertTrue(consumers.contains(receiver), "room at one that is gone");
+            assertTrue(consumers.contains(receiver), "capacity of a removed consumer");
         }
 
         @Override
@@ -122,7 +122,7 @@
         return new Frame.OfMethod(channel, Method.of(id, arguments));
     }
 
-    /** Pieces of conversations, put together at random. */
+    /** Parts of conversations, which the test sends in random order. */
     private List<byte[]> pieces() {
         List<byte[]> pieces = new ArrayList<>();
         Properties order = Properties.NONE.with(Properties.Property.MESSAGE_ID, "m").with(Properties.Property.HEADERS,
@@ -152,9 +152,9 @@
         return pieces;
     }
 
-    /** {@code -Damqp.fuzz.frames=1000000} for the whole. */
+    /** Run with {@code -Damqp.fuzz.frames=1000000} for the full test. */
     @Test
-    void noFrameDoesHarmBeyondItsConnection() throws Exception {
+    void invalidFramesAffectOnlyTheirConnection() throws Exception {
         int frames = Integer.getInteger("amqp.fuzz.frames", 40_000);
         Path file = folder.resolve("amqp.yaml");
         Files.writeString(file, """
@@ -172,28 +172,28 @@
                 false));
         byte[] ready = octets(method(1, MethodId.CHANNEL_OPEN, ""), method(1, MethodId.CONFIRM_SELECT, false),
                 method(1, MethodId.BASIC_CONSUME, 0, "q", "c1", false, false, false, false, Map.of()));
-        Core core = new Core();
+        FakeCore core = new FakeCore();
         long sent = 0;
         AmqpServer server = new AmqpServer(loop.eventLoop(), config, "e", Runnable::run);
         server.setHandlers(core, core);
         while (sent < frames) {
             EmbeddedChannel channel = new EmbeddedChannel();
             server.accept(channel);
-            in(channel, opening);
-            in(channel, opened);
-            in(channel, ready);
+            receive(channel, opening);
+            receive(channel, opened);
+            receive(channel, ready);
             for (int i = 0; i < 60 && channel.isOpen(); i++, sent++) {
-                // Mostly what a good client would send next, else hardly a connection would live for two frames.
-                int good = random.nextInt(6) == 0 ? pieces.size() : GOOD;
-                byte[] piece = pieces.get(random.nextInt(good)).clone();
+                // Mostly valid pieces; otherwise hardly any connection would last for two frames.
+                int choices = random.nextInt(6) == 0 ? pieces.size() : VALID_PIECES;
+                byte[] piece = pieces.get(random.nextInt(choices)).clone();
                 if (random.nextInt(25) == 0) {
                     piece[random.nextInt(piece.length)] ^= 1 << random.nextInt(8);
                 }
                 int cut = random.nextInt(30) == 0 ? random.nextInt(piece.length) : piece.length;
-                in(channel, Arrays.copyOf(piece, cut));
+                receive(channel, Arrays.copyOf(piece, cut));
             }
             if (channel.isOpen()) {
-                // Frames that came and were not looked at when it closes.
+                // Frames that are still unhandled when the connection closes.
                 channel.writeInbound(counting.buffer().writeBytes(pieces.get(0)));
             }
             channel.close();
@@ -204,27 +204,27 @@
                 ReferenceCountUtil.release(out);
             }
             channel.finishAndReleaseAll();
-            assertEquals(List.of(), consumers, "consumers of a connection that is gone");
+            assertEquals(List.of(), consumers, "consumers of a closed connection");
             assertEquals(List.of(), open);
             assertEquals(0, server.connectionCount());
-            long quarter = config.limits().all().octets() / 4;
-            for (int nobody = -4; nobody < 0; nobody++) {
-                assertTrue(server.pressure().tryStartBody(nobody, quarter), "a body is counted for a connection that is gone");
+            long quarter = config.limits().total().octets() / 4;
+            for (int connection = -4; connection < 0; connection++) {
+                assertTrue(server.backpressure().tryStartBody(connection, quarter), "a body is counted for a closed connection");
             }
-            for (int nobody = -4; nobody < 0; nobody++) {
-                server.pressure().bodyDone(nobody, quarter);
-                assertTrue(server.pressure().addLoad(nobody, config.limits().all().messages() / 4 - 1, 1)
-                        && server.pressure().paused().isEmpty(), "a publish is counted for a connection that is gone");
+            for (int connection = -4; connection < 0; connection++) {
+                server.backpressure().bodyDone(connection, quarter);
+                assertTrue(server.backpressure().addLoad(connection, config.limits().total().messages() / 4 - 1, 1)
+                        && server.backpressure().paused().isEmpty(), "a publication is counted for a closed connection");
             }
-            for (int nobody = -4; nobody < 0; nobody++) {
-                server.pressure().connectionClosed(nobody);
+            for (int connection = -4; connection < 0; connection++) {
+                server.backpressure().connectionClosed(connection);
             }
-            assertEquals(0, counting.metric().heapArenas().get(0).numActiveAllocations(), "buffers that were not given back");
+            assertEquals(0, counting.metric().heapArenas().get(0).numActiveAllocations(), "buffers that were not released");
         }
-        assertTrue(published > frames / 50, "publishes came through: " + published);
+        assertTrue(published > frames / 50, "accepted publications: " + published);
     }
 
-    private void in(EmbeddedChannel channel, byte[] octets) {
+    private void receive(EmbeddedChannel channel, byte[] octets) {
         if (channel.isOpen()) {
             channel.writeInbound(counting.buffer(Math.max(1, octets.length)).writeBytes(octets));
             channel.runPendingTasks();
