--- a/src/main/java/slipfield/front/amqp/PublisherFrontend.java
+++ b/src/main/java/slipfield/front/amqp/PublisherFrontend.java
@@ -29,47 +29,47 @@
 import slipfield.log.Log;
 
 /**
- * The way in for publishers. A confirm is the message's final answer, never its taking: {@code basic.ack} once it is
- * delivered; else {@code basic.return} with what became of it, then {@code basic.nack}. A publisher that is gone is owed
- * nothing: it will publish again, and an id that is known then is not taken twice.
+ * Accepts messages from publishers. A confirm reports the message's final answer, not its acceptance: {@code basic.ack} once
+ * it is delivered; otherwise {@code basic.return} with the result, then {@code basic.nack}. A publisher whose channel was closed
+ * gets no answer: it is expected to publish again, and a known message id is not accepted a second time.
  */
 public final class PublisherFrontend implements Frontend, AnswerChannel, PublishHandler {
-    /** The outcome's name in claims. */
+    /** The name of this answer channel in an {@link AnswerRecipient}. */
     public static final String NAME = "amqp";
 
     private final AmqpServer server;
     private final RoutingTable routes;
-    private final Consumer<PendingAnswer> heard;
-    /** Who waits for which message's end. */
-    private final Map<String, Waiting> waiting = new HashMap<>();
-    private final List<Taken> taken = new ArrayList<>();
-    /** Channels with confirms that were not sent yet. */
+    private final Consumer<PendingAnswer> acknowledged;
+    /** The publications without a final answer, by the publisher's {@link Publisher#peer}. */
+    private final Map<String, PendingPublications> pendingByPeer = new HashMap<>();
+    private final List<AcceptedPublication> accepted = new ArrayList<>();
+    /** Channels with confirms that are not sent yet. */
     private final Set<Publisher> due = new LinkedHashSet<>();
-    private MessageIntake desk;
-    private SubmissionReader reading;
+    private MessageIntake intake;
+    private SubmissionReader reader;
     private BrokerLinks brokers;
     private volatile List<InetSocketAddress> addresses = List.of();
     private boolean closing;
-    private long unnamed;
+    private long generatedIds;
 
-    private record Taken(PendingMessage held, Publisher from, Publication publication) {
+    private record AcceptedPublication(PendingMessage message, Publisher publisher, Publication publication) {
     }
 
-    private record Waiting(Publisher publisher, Map<String, List<Publication>> byId) {
+    private record PendingPublications(Publisher publisher, Map<String, List<Publication>> byId) {
     }
 
-    /** {@code heard} is told of each answer that was passed on, or that nobody waits for. */
-    public PublisherFrontend(AmqpServer server, RoutingTable routes, Consumer<PendingAnswer> heard) {
+    /** {@code acknowledged} is called with each answer that was passed on or that no publisher waits for. */
+    public PublisherFrontend(AmqpServer server, RoutingTable routes, Consumer<PendingAnswer> acknowledged) {
         this.server = server;
         this.routes = routes;
-        this.heard = heard;
+        this.acknowledged = acknowledged;
     }
 
-    /** Hands in at this desk, also what these brokers deliver. */
-    public void setIntake(MessageIntake at, BrokerLinks from) {
-        desk = at;
-        brokers = from;
-        reading = new SubmissionReader(at);
+    /** Sets where messages are submitted, and the broker links, which are opened and closed with the listener. */
+    public void setIntake(MessageIntake intake, BrokerLinks brokers) {
+        this.intake = intake;
+        this.brokers = brokers;
+        reader = new SubmissionReader(intake);
     }
 
     @Override
@@ -85,7 +85,7 @@
         server.kill();
     }
 
-    /** Where it listens: without TLS first, where it does both. */
+    /** The listening addresses; if there are two, the one without TLS first. */
     public List<InetSocketAddress> addresses() {
         return addresses;
     }
@@ -102,127 +102,128 @@
         return server.connectionCount();
     }
 
-    // ---- what is published ----
+    // ---- publications ----
 
     @Override
     public void published(Publisher from, Publication p) {
         Optional<RoutingTable.Target> target = routes.resolve(p.exchange(), p.routingKey());
         if (closing) {
-            refused(from, p, ReplyCode.CONNECTION_FORCED, "the sender ends; publish again, there or elsewhere", 0);
+            refuse(from, p, ReplyCode.CONNECTION_FORCED, "the sender ends; publish again, there or elsewhere", 0);
         } else if (target.isEmpty()) {
-            refused(from, p, ReplyCode.NO_ROUTE, "no route of '" + p.exchange() + "' fits '" + p.routingKey() + "'", 0);
+            refuse(from, p, ReplyCode.NO_ROUTE, "no route of '" + p.exchange() + "' fits '" + p.routingKey() + "'", 0);
         } else {
             try {
-                handIn(from, p, reading.read(p, target.get(), from.peer() + "-" + ++unnamed,
+                submit(from, p, reader.read(p, target.get(), from.peer() + "-" + ++generatedIds,
                         new AnswerRecipient(NAME, from.peer(), true, false)));
             } catch (BadInput bad) {
-                refused(from, p, ReplyCode.PRECONDITION_FAILED, bad.getMessage(), 0);
+                refuse(from, p, ReplyCode.PRECONDITION_FAILED, bad.getMessage(), 0);
             }
         }
     }
 
-    private void handIn(Publisher from, Publication p, MessageIntake.Submission submission) {
+    private void submit(Publisher from, Publication p, MessageIntake.Submission submission) {
         String id = submission.id();
-        if (taken.stream().anyMatch(t -> t.held.id.equals(id))) {
-            // What is said of an id must be true of the journal.
+        if (accepted.stream().anyMatch(t -> t.message.id.equals(id))) {
+            // The duplicate check below must not report an id as pending before it is in the journal.
             batchEnded();
         }
-        Optional<MessageIntake.DuplicateState> before = desk.checkDuplicate(id, submission.recipients().get(0));
+        Optional<MessageIntake.DuplicateState> before = intake.checkDuplicate(id, submission.recipients().get(0));
         if (before.isPresent()) {
             switch (before.get()) {
                 case PENDING -> await(from, p, id);
-                case DELIVERED -> end(from, p, true);
-                case UNDELIVERED -> failed(from, p, "this message-id was refused or failed a moment ago");
+                case DELIVERED -> confirm(from, p, true);
+                case UNDELIVERED -> fail(from, p, "this message-id was refused or failed a moment ago");
                 default -> throw new IllegalStateException();
             }
             return;
         }
-        if (!desk.knowsDestination(submission.destination())) {
-            refused(from, p, ReplyCode.NO_CONSUMERS, "nothing serves destination " + submission.destination() + " yet", 0);
+        if (!intake.knowsDestination(submission.destination())) {
+            refuse(from, p, ReplyCode.NO_CONSUMERS, "nothing serves destination " + submission.destination() + " yet", 0);
             return;
         }
-        MessageIntake.SubmissionResult taking = desk.submit(submission);
-        if (taking.message().isPresent()) {
-            taken.add(new Taken(taking.message().get(), from, p));
+        MessageIntake.SubmissionResult result = intake.submit(submission);
+        if (result.message().isPresent()) {
+            accepted.add(new AcceptedPublication(result.message().get(), from, p));
             await(from, p, id);
         } else {
-            refused(from, p, ReplyCode.RESOURCE_ERROR, taking.reason(), taking.waitMs());
+            refuse(from, p, ReplyCode.RESOURCE_ERROR, result.reason(), result.waitMs());
         }
     }
 
     private void await(Publisher from, Publication p, String id) {
-        waiting.computeIfAbsent(from.peer(), peer -> new Waiting(from, new HashMap<>())).byId
+        pendingByPeer.computeIfAbsent(from.peer(), peer -> new PendingPublications(from, new HashMap<>())).byId
                 .computeIfAbsent(id, i -> new ArrayList<>(1)).add(p);
     }
 
-    /** All that was taken goes into the journal in one write, and on to the module; its end is what is told. */
+    /** Writes all accepted messages to the journal in one write. Refuses those that were not written. */
     @Override
     public void batchEnded() {
-        if (!taken.isEmpty()) {
-            boolean written = desk.writeAccepted();
-            List<Taken> told = List.copyOf(taken);
-            taken.clear();
-            for (Taken t : told) {
-                boolean recorded = written || desk.isRecorded(t.held);
-                desk.acceptanceReported(t.held, recorded);
+        if (!accepted.isEmpty()) {
+            boolean allWritten = intake.writeAccepted();
+            List<AcceptedPublication> batch = List.copyOf(accepted);
+            accepted.clear();
+            for (AcceptedPublication t : batch) {
+                boolean recorded = allWritten || intake.isRecorded(t.message);
+                intake.acceptanceReported(t.message, recorded);
                 if (!recorded) {
-                    publications(t.from, t.held.id).forEach(p -> refused(t.from, p, ReplyCode.RESOURCE_ERROR, "no room", 0));
+                    takePublications(t.publisher, t.message.id)
+                            .forEach(p -> refuse(t.publisher, p, ReplyCode.RESOURCE_ERROR, "no room", 0));
                 }
             }
         }
         flush();
     }
 
-    private List<Publication> publications(Publisher of, String id) {
-        Waiting waits = waiting.get(of.peer());
-        List<Publication> publications = waits == null ? null : waits.byId.remove(id);
+    private List<Publication> takePublications(Publisher publisher, String id) {
+        PendingPublications pending = pendingByPeer.get(publisher.peer());
+        List<Publication> publications = pending == null ? null : pending.byId.remove(id);
         return publications == null ? List.of() : publications;
     }
 
     @Override
     public void publisherClosed(Publisher publisher) {
         due.remove(publisher);
-        Waiting waits = waiting.remove(publisher.peer());
-        if (waits != null && !waits.byId.isEmpty()) {
-            if (!taken.isEmpty()) {
+        PendingPublications pending = pendingByPeer.remove(publisher.peer());
+        if (pending != null && !pending.byId.isEmpty()) {
+            if (!accepted.isEmpty()) {
                 batchEnded();
             }
-            desk.recipientGone(NAME, publisher.peer());
+            intake.recipientGone(NAME, publisher.peer());
         }
     }
 
-    // ---- ends ----
+    // ---- final answers ----
 
     @Override
     public void enqueue(PendingAnswer answer) {
-        Waiting waits = waiting.get(answer.recipient().peer());
-        if (waits != null) {
+        PendingPublications pending = pendingByPeer.get(answer.recipient().peer());
+        if (pending != null) {
             PendingMessage.Notice notice = answer.message().pendingNotice.orElseThrow();
-            for (Publication p : publications(waits.publisher, answer.message().id)) {
+            for (Publication p : takePublications(pending.publisher, answer.message().id)) {
                 switch (notice.answer()) {
-                    case DELIVERED -> end(waits.publisher, p, true);
-                    case REFUSED -> refused(waits.publisher, p, ReplyCode.RESOURCE_ERROR,
+                    case DELIVERED -> confirm(pending.publisher, p, true);
+                    case REFUSED -> refuse(pending.publisher, p, ReplyCode.RESOURCE_ERROR,
                             "could not be delivered, and did not run", Math.round(notice.waitMs()));
-                    case FAILED -> failed(waits.publisher, p, "given up; it may have run");
+                    case FAILED -> fail(pending.publisher, p, "given up; it may have run");
                     default -> throw new IllegalStateException();
                 }
             }
         }
-        // One of an earlier life, or of a channel that is gone: nobody waits for it.
-        heard.accept(answer);
+        // Also if no publisher waits, after a restart or since the channel was closed: nobody else acknowledges this answer.
+        acknowledged.accept(answer);
     }
 
-    private void refused(Publisher to, Publication p, ReplyCode code, String text, long waitMs) {
+    private void refuse(Publisher to, Publication p, ReplyCode code, String text, long waitMs) {
         to.returnMessage(p, code, text, ReturnHeaders.refused(waitMs));
-        end(to, p, false);
+        confirm(to, p, false);
     }
 
-    private void failed(Publisher to, Publication p, String text) {
+    private void fail(Publisher to, Publication p, String text) {
         to.returnMessage(p, ReplyCode.INTERNAL_ERROR, text, ReturnHeaders.failed());
-        end(to, p, false);
+        confirm(to, p, false);
     }
 
-    private void end(Publisher to, Publication p, boolean ack) {
+    private void confirm(Publisher to, Publication p, boolean ack) {
         to.confirm(p, ack);
         due.add(to);
     }
@@ -236,7 +237,7 @@
         }
     }
 
-    /** What is not confirmed yet is not over yet: the core counts that itself. */
+    /** Always 0: each answer is acknowledged at once, and the core itself counts the messages without one. */
     @Override
     public int pendingCount() {
         return 0;
--- a/src/main/java/slipfield/front/amqp/SubmissionReader.java
+++ b/src/main/java/slipfield/front/amqp/SubmissionReader.java
@@ -10,51 +10,53 @@
 import slipfield.core.MessageIntake;
 import slipfield.journal.AnswerRecipient;
 
-/** What a publication hands in, checked. */
+/** Reads a submission from a publication, and validates it. */
 final class SubmissionReader {
-    private static final String KEY = "idempotency-key";
-    private static final String TENANT = "tenant";
+    private static final String KEY_HEADER = "idempotency-key";
+    private static final String TENANT_HEADER = "tenant";
 
-    private final MessageIntake desk;
+    private final MessageIntake intake;
 
-    SubmissionReader(MessageIntake desk) {
-        this.desk = desk;
+    SubmissionReader(MessageIntake intake) {
+        this.intake = intake;
     }
 
     /**
-     * The submission in a publication for this target.
+     * Reads the submission from a publication that was routed to this target.
      *
-     * @param ownId used where it has no message-id: nobody can hand it in again under that one
+     * @param generatedId the id of a message without message-id; such a message can't be submitted again under its id
      */
-    MessageIntake.Submission read(Publication p, RoutingTable.Target target, String ownId, AnswerRecipient claim) throws BadInput {
+    MessageIntake.Submission read(Publication p, RoutingTable.Target target, String generatedId, AnswerRecipient recipient)
+            throws BadInput {
         Properties properties = p.properties();
         String user = properties.text(Property.USER_ID);
         if (!user.isEmpty() && !user.equals(p.user().name())) {
             throw new BadInput("user-id is another than the connection's user; leave it out");
         }
         String id = properties.text(Property.MESSAGE_ID);
-        Optional<String> key = header(properties, KEY).or(() -> Optional.of(properties.text(Property.CORRELATION_ID)))
+        Optional<String> key = header(properties, KEY_HEADER).or(() -> Optional.of(properties.text(Property.CORRELATION_ID)))
                 .filter(k -> !k.isBlank());
-        if (key.isEmpty() && desk.needsKey(target.messageClass())) {
-            throw new BadInput("class " + target.messageClass() + " needs a key; set correlation-id, or the header " + KEY);
+        if (key.isEmpty() && intake.needsKey(target.messageClass())) {
+            throw new BadInput("class " + target.messageClass() + " needs a key; set correlation-id, or the header "
+                    + KEY_HEADER);
         }
-        Optional<String> asked = header(properties, TENANT);
-        if (asked.isPresent() && !p.user().tenant().isEmpty() && !asked.get().equals(p.user().tenant())) {
+        Optional<String> requestedTenant = header(properties, TENANT_HEADER);
+        if (requestedTenant.isPresent() && !p.user().tenant().isEmpty() && !requestedTenant.get().equals(p.user().tenant())) {
             throw new BadInput("the header tenant is another than the user's; leave it out");
         }
-        String tenant = asked.orElse(p.user().tenant());
-        if (!desk.knowsTenant(tenant)) {
+        String tenant = requestedTenant.orElse(p.user().tenant());
+        if (!intake.knowsTenant(tenant)) {
             throw new BadInput("no tenant '" + tenant + "'; set the header tenant, or the user's in the operator's file");
         }
-        return new MessageIntake.Submission(id.isBlank() ? ownId : id, target.messageClass(), tenant, key, target.destination(),
-                budgetMs(properties.text(Property.EXPIRATION)), p.body(), List.of(claim));
+        return new MessageIntake.Submission(id.isBlank() ? generatedId : id, target.messageClass(), tenant, key,
+                target.destination(), budgetMs(properties.text(Property.EXPIRATION)), p.body(), List.of(recipient));
     }
 
     private static Optional<String> header(Properties properties, String name) {
         return Optional.ofNullable(properties.headers().get(name)).map(Object::toString);
     }
 
-    /** Without an expiration a message has all the time that its class gives. */
+    /** The time for the delivery in ms. Without an expiration only the time of the message's class limits it. */
     private static long budgetMs(String expiration) throws BadInput {
         if (expiration.isEmpty()) {
             return Long.MAX_VALUE;
--- a/src/main/java/slipfield/front/amqp/package-info.java
+++ b/src/main/java/slipfield/front/amqp/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Takes what AMQP publishers hand in, and tells them its end by confirms: a front and the outcome of its messages in one.
+ * Accepts messages from AMQP publishers and reports their final answers by confirms: frontend and answer channel in one.
  * May use {@code core}, {@code journal}, {@code amqp} and {@code log}.
  */
 package slipfield.front.amqp;
--- a/src/main/java/slipfield/transport/amqp/ConsumerAddress.java
+++ b/src/main/java/slipfield/transport/amqp/ConsumerAddress.java
@@ -2,7 +2,7 @@
 
 import java.net.SocketAddress;
 
-/** Where a consumer is found: by its name, not on the network. */
+/** The address of a consumer: its endpoint name instead of a network address. */
 public final class ConsumerAddress extends SocketAddress {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/slipfield/transport/amqp/ConsumerTransport.java
+++ b/src/main/java/slipfield/transport/amqp/ConsumerTransport.java
@@ -25,47 +25,47 @@
 import slipfield.policy.DeliveryPolicy.LimitReport;
 
 /**
- * Queues whose consumers are endpoints: each comes and goes by the core's directory port, and an attempt is one delivery to
- * one consumer. What finds no room there stands in a line as long as the consumer has slots, and beyond it is turned away
- * unseen. On the core's loop.
+ * Delivers messages to the consumers of queues. Each consumer is an endpoint, reported through the core's directory port, and
+ * an attempt is one delivery to one consumer. If the consumer has no capacity, the attempt waits in a queue of up to
+ * {@link Receiver#maxInFlight} attempts; further attempts end as {@code FULL}. Runs on the core's event loop.
  */
 public final class ConsumerTransport implements Transport, Directory, ConsumerHandler {
     private final EventLoop loop;
-    /** By name, those of whoever came so far: one that left is told of once more. */
+    /** Queues by name, of all consumers so far. Kept when a consumer leaves, since its expiry is reported with its queue. */
     private final Map<String, AmqpConfig.Queue> queues = new HashMap<>();
-    private final AttemptListener ends;
+    private final AttemptListener attempts;
     private final ConsumerRegistry consumers;
-    private final Map<String, Line> lines = new HashMap<>();
+    private final Map<String, ConnectedConsumer> connected = new HashMap<>();
     private final Map<Long, String> endpoints = new HashMap<>();
-    private EndpointListener lists;
-    private Future<?> tick;
+    private EndpointListener endpointListener;
+    private Future<?> expiryTimer;
 
-    /** One that is here, and the attempts that wait for it. */
-    private static final class Line {
+    /** A connected consumer and the attempts that wait for it. */
+    private static final class ConnectedConsumer {
         private final Receiver receiver;
-        private final Deque<Call> waiting = new ArrayDeque<>();
+        private final Deque<ConsumerAttempt> waiting = new ArrayDeque<>();
 
-        private Line(Receiver receiver) {
+        private ConnectedConsumer(Receiver receiver) {
             this.receiver = receiver;
         }
     }
 
-    /** {@code awayMs}: one that left is remembered for so long. */
-    public ConsumerTransport(EventLoop loop, long awayMs, AttemptListener ends) {
+    /** {@code awayMs}: how long a consumer that left is remembered; {@code attempts} is told how attempts end. */
+    public ConsumerTransport(EventLoop loop, long awayMs, AttemptListener attempts) {
         this.loop = loop;
-        this.ends = ends;
+        this.attempts = attempts;
         this.consumers = new ConsumerRegistry(awayMs);
     }
 
     // ---- consumers as endpoints ----
 
-    /** There is nothing to watch: consumers come by themselves. */
+    /** Only stores the listener: consumers connect on their own. */
     @Override
     public void start(EndpointListener to) {
-        lists = to;
+        endpointListener = to;
     }
 
-    /** Never by itself: what an earlier life held waits for the platform's list, not for the first consumer. */
+    /** Always false: messages restored from the journal wait for the platform's endpoint list, not for the first consumer. */
     @Override
     public boolean fresh() {
         return false;
@@ -73,45 +73,45 @@
 
     @Override
     public boolean canAdd(Receiver receiver, boolean exclusive) {
-        return lists != null && consumers.canAdd(receiver.name(), receiver.queue().name(), exclusive);
+        return endpointListener != null && consumers.canAdd(receiver.name(), receiver.queue().name(), exclusive);
     }
 
     @Override
     public void consumerAdded(Receiver receiver, boolean exclusive) {
-        lines.put(receiver.name(), new Line(receiver));
+        connected.put(receiver.name(), new ConnectedConsumer(receiver));
         queues.put(receiver.queue().name(), receiver.queue());
-        tell(consumers.add(receiver.name(), receiver.queue().name(), exclusive, receiver.priority()));
+        reportChanges(consumers.add(receiver.name(), receiver.queue().name(), exclusive, receiver.priority()));
     }
 
     @Override
     public void consumerRemoved(Receiver receiver) {
-        Line line = lines.remove(receiver.name());
-        tell(consumers.remove(receiver.name(), nowMs()));
-        // They were not sent, and can go elsewhere.
-        List.copyOf(line.waiting).forEach(call -> call.end(AttemptOutcome.NOT_SENT));
-        forgetLater();
+        ConnectedConsumer consumer = connected.remove(receiver.name());
+        reportChanges(consumers.remove(receiver.name(), nowMs()));
+        // These were not sent and can go to other endpoints.
+        List.copyOf(consumer.waiting).forEach(call -> call.end(AttemptOutcome.NOT_SENT));
+        scheduleExpiry();
     }
 
-    private void tell(List<ConsumerRegistry.EndpointUpdate> changed) {
-        lists.endpointsChanged(false, changed.stream().map(entry -> {
+    private void reportChanges(List<ConsumerRegistry.EndpointUpdate> changed) {
+        endpointListener.endpointsChanged(false, changed.stream().map(entry -> {
             AmqpConfig.Queue queue = queues.get(entry.queue());
             return new Entry(entry.name(), new ConsumerAddress(entry.name()), queue.zone(), queue.kind(), queue.destination(),
                     entry.inService(), 0, entry.removed());
         }).toList());
     }
 
-    private void forgetLater() {
+    private void scheduleExpiry() {
         OptionalDouble next = consumers.nextExpiryMs();
-        if (tick != null) {
-            tick.cancel(false);
+        if (expiryTimer != null) {
+            expiryTimer.cancel(false);
         }
         if (next.isPresent()) {
-            tick = loop.schedule(() -> {
-                List<ConsumerRegistry.EndpointUpdate> gone = consumers.removeExpired(nowMs());
-                if (!gone.isEmpty()) {
-                    tell(gone);
+            expiryTimer = loop.schedule(() -> {
+                List<ConsumerRegistry.EndpointUpdate> expired = consumers.removeExpired(nowMs());
+                if (!expired.isEmpty()) {
+                    reportChanges(expired);
                 }
-                forgetLater();
+                scheduleExpiry();
             }, (long) Math.max(1, next.getAsDouble() - nowMs()), TimeUnit.MILLISECONDS);
         }
     }
@@ -129,7 +129,7 @@
 
     @Override
     public void start() {
-        // Nothing is kept open here but what consumers opened.
+        // No connections to open: consumers connect to the sender.
     }
 
     @Override
@@ -139,7 +139,7 @@
 
     @Override
     public void stop(long endpoint) {
-        // A consumer that is out of service has no line any more.
+        // A consumer that was removed has no entry any more.
     }
 
     @Override
@@ -149,21 +149,21 @@
 
     @Override
     public void closeIdle(long endpoint) {
-        // A consumer's connection is its own.
+        // The consumer owns its connection.
     }
 
     @Override
-    public Attempt attempt(PendingMessage held, int number, long endpoint, AttemptTiming within, long decidedNanos) {
-        double leftMs = Math.max(0, within.timeoutMs() - (System.nanoTime() - decidedNanos) / 1e6);
-        Line line = lines.get(endpoints.get(endpoint));
-        Call call = new Call(held, number, line, leftMs, decidedNanos, within.latestWriteMs());
-        call.timer = loop.schedule(call::timedOut, (long) Math.ceil(leftMs * 1000), TimeUnit.MICROSECONDS);
-        if (line == null) {
+    public Attempt attempt(PendingMessage message, int number, long endpoint, AttemptTiming timing, long decidedNanos) {
+        double remainingMs = Math.max(0, timing.timeoutMs() - (System.nanoTime() - decidedNanos) / 1e6);
+        ConnectedConsumer consumer = connected.get(endpoints.get(endpoint));
+        ConsumerAttempt call = new ConsumerAttempt(message, number, consumer, remainingMs, decidedNanos, timing.latestWriteMs());
+        call.timer = loop.schedule(call::timedOut, (long) Math.ceil(remainingMs * 1000), TimeUnit.MICROSECONDS);
+        if (consumer == null) {
             call.end(AttemptOutcome.NOT_SENT);
-        } else if (line.waiting.isEmpty() && line.receiver.hasCapacity()) {
+        } else if (consumer.waiting.isEmpty() && consumer.receiver.hasCapacity()) {
             call.deliver();
-        } else if (line.waiting.size() < line.receiver.maxInFlight()) {
-            line.waiting.addLast(call);
+        } else if (consumer.waiting.size() < consumer.receiver.maxInFlight()) {
+            consumer.waiting.addLast(call);
         } else {
             call.end(AttemptOutcome.FULL);
         }
@@ -172,37 +172,38 @@
 
     @Override
     public void capacityFreed(Receiver receiver) {
-        Line line = lines.get(receiver.name());
-        while (line != null && !line.waiting.isEmpty() && receiver.hasCapacity()) {
-            line.waiting.pollFirst().deliver();
+        ConnectedConsumer consumer = connected.get(receiver.name());
+        while (consumer != null && !consumer.waiting.isEmpty() && receiver.hasCapacity()) {
+            consumer.waiting.pollFirst().deliver();
         }
     }
 
-    /** An attempt: first in a consumer's line, perhaps, then out to it. */
-    private final class Call implements Attempt {
-        private final PendingMessage held;
+    /** An attempt: it may wait for capacity first, then it is delivered to the consumer. */
+    private final class ConsumerAttempt implements Attempt {
+        private final PendingMessage message;
         private final int number;
-        private final Line line;
+        private final ConnectedConsumer consumer;
         private final double timeoutMs;
         private final long decidedNanos;
-        private final double writtenMs;
+        private final double latestWriteMs;
         private final long startedNanos = System.nanoTime();
         private Future<?> timer;
         private ChannelFuture written;
         private boolean done;
 
-        private Call(PendingMessage held, int number, Line line, double timeoutMs, long decidedNanos, double writtenMs) {
-            this.held = held;
+        private ConsumerAttempt(PendingMessage message, int number, ConnectedConsumer consumer, double timeoutMs,
+                long decidedNanos, double latestWriteMs) {
+            this.message = message;
             this.number = number;
-            this.line = line;
+            this.consumer = consumer;
             this.timeoutMs = timeoutMs;
             this.decidedNanos = decidedNanos;
-            this.writtenMs = writtenMs;
+            this.latestWriteMs = latestWriteMs;
         }
 
         @Override
         public PendingMessage message() {
-            return held;
+            return message;
         }
 
         @Override
@@ -215,44 +216,44 @@
             return startedNanos;
         }
 
-        /** What is out can't be called back; its consumer may run it. */
+        /** A delivery that was written can't be withdrawn; its consumer may run it. */
         @Override
         public void cancel() {
             end(written == null ? AttemptOutcome.NOT_SENT : AttemptOutcome.CANCELLED);
         }
 
-        /** In the line a repeat's window may have passed: then it is not made. */
+        /** Delivers, unless the latest write time has passed while the attempt waited; a repeated delivery must not be late. */
         private void deliver() {
-            if ((System.nanoTime() - decidedNanos) / 1e6 > writtenMs) {
+            if ((System.nanoTime() - decidedNanos) / 1e6 > latestWriteMs) {
                 end(AttemptOutcome.NOT_SENT);
                 return;
             }
-            Properties properties = Properties.NONE.with(Property.MESSAGE_ID, held.id)
-                    .with(Property.CORRELATION_ID, held.key.orElse(null))
+            Properties properties = Properties.NONE.with(Property.MESSAGE_ID, message.id)
+                    .with(Property.CORRELATION_ID, message.key.orElse(null))
                     .with(Property.EXPIRATION, Long.toString(Math.max(1, (long) timeoutMs)))
-                    .with(Property.TYPE, held.messageClass);
-            written = line.receiver.deliver(properties, held.body, number > 0, this::settled);
+                    .with(Property.TYPE, message.messageClass);
+            written = consumer.receiver.deliver(properties, message.body, number > 0, this::settled);
             written.addListener(f -> {
                 if (!f.isSuccess()) {
-                    // The connection went before the last octet was out.
+                    // The connection was closed before the last octet was written.
                     end(AttemptOutcome.UNREACHABLE);
                 }
             });
         }
 
-        private void settled(Receiver.Settlement how, long waitMs) {
-            switch (how) {
+        private void settled(Receiver.Settlement settlement, long waitMs) {
+            switch (settlement) {
                 case ACKED -> end(AttemptOutcome.DELIVERED);
                 case REQUEUED -> end(AttemptOutcome.FULL, waitMs);
                 case REJECTED -> end(AttemptOutcome.ERROR);
-                // Unless the write has failed, which is known when the connection is closed, it may have come over.
+                // The write's result is known once the connection is closed. Unless it failed, the message may have arrived.
                 case LOST -> loop.execute(() -> end(written.isDone() && !written.isSuccess() ? AttemptOutcome.UNREACHABLE
                         : AttemptOutcome.BROKEN));
                 default -> throw new IllegalStateException();
             }
         }
 
-        /** What waits in the line was never sent; what was written may have run, be it flushed yet or not. */
+        /** A waiting attempt was never sent. A written one may have run, even if it is not flushed yet. */
         private void timedOut() {
             end(written == null ? AttemptOutcome.NOT_SENT : AttemptOutcome.TIMED_OUT);
         }
@@ -267,11 +268,11 @@
             }
             done = true;
             timer.cancel(false);
-            if (line != null && written == null) {
-                line.waiting.remove(this);
+            if (consumer != null && written == null) {
+                consumer.waiting.remove(this);
             }
-            // Never at once: an end may be found while the module is being called.
-            loop.execute(() -> ends.ended(this, outcome, false, waitMs, LimitReport.NOTHING));
+            // Not called directly: an attempt may end while the delivery policy is being called.
+            loop.execute(() -> attempts.ended(this, outcome, false, waitMs, LimitReport.NOTHING));
         }
     }
 }
--- a/src/main/java/slipfield/transport/amqp/package-info.java
+++ b/src/main/java/slipfield/transport/amqp/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Delivers to consumers of AMQP queues, and tells the core of them as a directory. May use {@code core}, {@code journal},
- * {@code policy}'s outcomes, {@code amqp} and {@code log}; decides nothing that {@code amqp.decide} or {@code policy} can.
+ * Delivers messages to consumers of AMQP queues, and reports them to the core as a directory. May use {@code core},
+ * {@code journal}, the outcomes of {@code policy}, {@code amqp} and {@code log}. Decisions belong into {@code amqp.decide} or
+ * {@code policy}.
  */
 package slipfield.transport.amqp;
--- a/src/test/java/slipfield/front/amqp/PublisherFrontendTest.java
+++ b/src/test/java/slipfield/front/amqp/PublisherFrontendTest.java
@@ -21,23 +21,23 @@
 import slipfield.journal.PendingMessage;
 import slipfield.journal.PendingAnswer;
 
-/** What publishers hear of what the desk says, one publication at a time; no connection and no sender. */
+/** The confirms and returns that publishers get for the replies of a fake {@link MessageIntake}; without connections. */
 class PublisherFrontendTest {
-    private final List<String> told = new ArrayList<>();
-    private final List<String> left = new ArrayList<>();
-    private final List<PendingAnswer> heard = new ArrayList<>();
+    private final List<String> sent = new ArrayList<>();
+    private final List<String> gone = new ArrayList<>();
+    private final List<PendingAnswer> acknowledged = new ArrayList<>();
     private final Map<String, MessageIntake.DuplicateState> known = new HashMap<>();
-    private final List<PendingMessage> taken = new ArrayList<>();
-    private final List<String> answered = new ArrayList<>();
-    private boolean writes = true;
+    private final List<PendingMessage> accepted = new ArrayList<>();
+    private final List<String> acceptances = new ArrayList<>();
+    private boolean writeSucceeds = true;
     private long waitMs = -1;
     private final PublisherFrontend front = new PublisherFrontend(null, new RoutingTable().addExchange("x",
-            List.of(new RoutingTable.Route("#", "c", 7, 0))), heard::add);
+            List.of(new RoutingTable.Route("#", "c", 7, 0))), acknowledged::add);
 
-    private final class Channel implements Publisher {
+    private final class FakeChannel implements Publisher {
         private final String peer;
 
-        Channel(String peer) {
+        FakeChannel(String peer) {
             this.peer = peer;
         }
 
@@ -48,22 +48,22 @@
 
         @Override
         public void returnMessage(Publication p, ReplyCode code, String text, Map<String, Object> headers) {
-            told.add(peer + p.tag() + " " + code.number() + " " + headers.get(ReturnHeaders.END)
+            sent.add(peer + p.tag() + " " + code.number() + " " + headers.get(ReturnHeaders.END)
                     + (headers.containsKey(ReturnHeaders.RETRY_AFTER) ? " " + headers.get(ReturnHeaders.RETRY_AFTER) : ""));
         }
 
         @Override
         public void confirm(Publication p, boolean ack) {
-            told.add(peer + p.tag() + (ack ? " ack" : " nack"));
+            sent.add(peer + p.tag() + (ack ? " ack" : " nack"));
         }
 
         @Override
         public void flush() {
-            told.add(peer + " flush");
+            sent.add(peer + " flush");
         }
     }
 
-    private final class World implements MessageIntake {
+    private final class FakeIntake implements MessageIntake {
         @Override
         public boolean ready() {
             return true;
@@ -90,13 +90,13 @@
         }
 
         @Override
-        public Optional<DuplicateState> checkDuplicate(String id, AnswerRecipient claim) {
+        public Optional<DuplicateState> checkDuplicate(String id, AnswerRecipient recipient) {
             return Optional.ofNullable(known.get(id));
         }
 
         @Override
-        public void recipientGone(String outcome, String peer) {
-            left.add(peer);
+        public void recipientGone(String channel, String peer) {
+            gone.add(peer);
         }
 
         @Override
@@ -104,117 +104,117 @@
             if (waitMs >= 0) {
                 return SubmissionResult.refused("no room", waitMs);
             }
-            PendingMessage held = new PendingMessage(taken.size(), s.id(), s.messageClass(), s.tenant(), s.key(), s.destination(),
-                    0, s.body(), s.recipients().get(0));
-            taken.add(held);
+            PendingMessage message = new PendingMessage(accepted.size(), s.id(), s.messageClass(), s.tenant(), s.key(),
+                    s.destination(), 0, s.body(), s.recipients().get(0));
+            accepted.add(message);
             known.put(s.id(), DuplicateState.PENDING);
-            return SubmissionResult.accepted(held);
+            return SubmissionResult.accepted(message);
         }
 
         @Override
         public boolean writeAccepted() {
-            return writes;
+            return writeSucceeds;
         }
 
         @Override
-        public void acceptanceReported(PendingMessage held, boolean wasHeard) {
-            answered.add(held.id + " " + wasHeard);
+        public void acceptanceReported(PendingMessage message, boolean received) {
+            acceptances.add(message.id + " " + received);
         }
     }
 
     PublisherFrontendTest() {
-        front.setIntake(new World(), null);
+        front.setIntake(new FakeIntake(), null);
     }
 
-    private void publish(Channel from, long tag, String id) {
+    private void publish(FakeChannel from, long tag, String id) {
         front.published(from, new Publication(tag, new AmqpConfig.User("u", Optional.empty(), "", Set.of(), Set.of()), "x", "k",
                 Properties.NONE.with(Properties.Property.MESSAGE_ID, id), new byte[0]));
     }
 
-    private void owe(int number, PendingMessage.FinalAnswer end, double wait) {
-        PendingMessage held = taken.get(number);
-        held.pendingNotice = Optional.of(new PendingMessage.Notice(end, wait));
-        front.enqueue(new PendingAnswer(held, held.recipients.get(0)));
+    private void answer(int number, PendingMessage.FinalAnswer answer, double waitMs) {
+        PendingMessage message = accepted.get(number);
+        message.pendingNotice = Optional.of(new PendingMessage.Notice(answer, waitMs));
+        front.enqueue(new PendingAnswer(message, message.recipients.get(0)));
         front.flush();
     }
 
-    private List<String> told() {
-        List<String> all = List.copyOf(told);
-        told.clear();
+    private List<String> takeSent() {
+        List<String> all = List.copyOf(sent);
+        sent.clear();
         return all;
     }
 
     @Test
-    void nothingIsToldBeforeTheEndAndThenTheTruth() {
-        Channel a = new Channel("a");
+    void confirmsReportTheFinalAnswerAndNothingBefore() {
+        FakeChannel a = new FakeChannel("a");
         publish(a, 1, "m1");
         publish(a, 2, "m2");
         publish(a, 3, "m3");
         front.batchEnded();
-        assertEquals(List.of(), told());
-        assertEquals(List.of("m1 true", "m2 true", "m3 true"), answered);
-        owe(0, PendingMessage.FinalAnswer.DELIVERED, 0);
-        owe(1, PendingMessage.FinalAnswer.REFUSED, 250.4);
-        owe(2, PendingMessage.FinalAnswer.FAILED, 0);
+        assertEquals(List.of(), takeSent());
+        assertEquals(List.of("m1 true", "m2 true", "m3 true"), acceptances);
+        answer(0, PendingMessage.FinalAnswer.DELIVERED, 0);
+        answer(1, PendingMessage.FinalAnswer.REFUSED, 250.4);
+        answer(2, PendingMessage.FinalAnswer.FAILED, 0);
         assertEquals(List.of("a1 ack", "a flush", "a2 506 refused 250", "a2 nack", "a flush", "a3 541 failed", "a3 nack",
-                "a flush"), told());
-        assertEquals(3, heard.size());
+                "a flush"), takeSent());
+        assertEquals(3, acknowledged.size());
     }
 
-    /** What could not be written is not taken, whatever the desk had said before. */
+    /** A message that was not written to the journal is refused, although the intake had accepted it. */
     @Test
-    void whatIsNotInTheJournalIsGivenBack() {
-        writes = false;
-        publish(new Channel("a"), 1, "m1");
+    void aMessageThatIsNotWrittenIsReturned() {
+        writeSucceeds = false;
+        publish(new FakeChannel("a"), 1, "m1");
         front.batchEnded();
-        assertEquals(List.of("m1 false"), answered);
-        assertEquals(List.of("a1 506 refused", "a1 nack", "a flush"), told());
+        assertEquals(List.of("m1 false"), acceptances);
+        assertEquals(List.of("a1 506 refused", "a1 nack", "a flush"), takeSent());
     }
 
     @Test
-    void aRefusalAtTheDoorTellsItsWait() {
+    void aRefusedSubmissionIsReturnedWithItsDelay() {
         waitMs = 1200;
-        publish(new Channel("a"), 1, "m1");
+        publish(new FakeChannel("a"), 1, "m1");
         waitMs = 0;
-        publish(new Channel("a"), 2, "m2");
-        assertEquals(List.of("a1 506 refused 1200", "a1 nack", "a2 506 refused", "a2 nack"), told());
+        publish(new FakeChannel("a"), 2, "m2");
+        assertEquals(List.of("a1 506 refused 1200", "a1 nack", "a2 506 refused", "a2 nack"), takeSent());
     }
 
-    /** The same id twice in one read: the first is in the journal before anything is said of the second. */
+    /** The same id twice in one batch: the first must be in the journal before the second is handled. */
     @Test
-    void anIdThatIsHeldIsAwaitedByAllWhoPublishedIt() {
-        Channel a = new Channel("a");
-        Channel b = new Channel("b");
+    void allPublishersOfAPendingIdGetItsAnswer() {
+        FakeChannel a = new FakeChannel("a");
+        FakeChannel b = new FakeChannel("b");
         publish(a, 1, "m1");
         publish(a, 2, "m1");
-        assertEquals(List.of("m1 true"), answered, "written before the second is looked at");
+        assertEquals(List.of("m1 true"), acceptances, "the first is written before the second is handled");
         publish(b, 1, "m1");
         front.batchEnded();
-        assertEquals(1, taken.size());
-        owe(0, PendingMessage.FinalAnswer.DELIVERED, 0);
-        assertEquals(List.of("a1 ack", "a2 ack", "a flush"), told());
-        PendingMessage held = taken.get(0);
-        front.enqueue(new PendingAnswer(held, new AnswerRecipient(PublisherFrontend.NAME, "b", true, false)));
+        assertEquals(1, accepted.size());
+        answer(0, PendingMessage.FinalAnswer.DELIVERED, 0);
+        assertEquals(List.of("a1 ack", "a2 ack", "a flush"), takeSent());
+        PendingMessage message = accepted.get(0);
+        front.enqueue(new PendingAnswer(message, new AnswerRecipient(PublisherFrontend.NAME, "b", true, false)));
         front.flush();
-        assertEquals(List.of("b1 ack", "b flush"), told());
+        assertEquals(List.of("b1 ack", "b flush"), takeSent());
         known.put("m1", MessageIntake.DuplicateState.DELIVERED);
         publish(a, 3, "m1");
         known.put("m1", MessageIntake.DuplicateState.UNDELIVERED);
         publish(a, 4, "m1");
-        assertEquals(List.of("a3 ack", "a4 541 failed", "a4 nack"), told());
+        assertEquals(List.of("a3 ack", "a4 541 failed", "a4 nack"), takeSent());
     }
 
     @Test
-    void whoHasLeftIsOwedNothing() {
-        Channel a = new Channel("a");
+    void aClosedPublisherGetsNoAnswer() {
+        FakeChannel a = new FakeChannel("a");
         publish(a, 1, "m1");
         front.publisherClosed(a);
-        assertEquals(List.of("a"), left);
-        assertEquals(List.of("m1 true"), answered, "it was taken, and is delivered all the same");
-        owe(0, PendingMessage.FinalAnswer.DELIVERED, 0);
-        assertEquals(List.of(), told());
-        assertEquals(1, heard.size());
-        front.publisherClosed(new Channel("b"));
-        assertEquals(List.of("a"), left, "one that waits for nothing is not looked for");
+        assertEquals(List.of("a"), gone);
+        assertEquals(List.of("m1 true"), acceptances, "it was accepted, and is delivered nevertheless");
+        answer(0, PendingMessage.FinalAnswer.DELIVERED, 0);
+        assertEquals(List.of(), takeSent());
+        assertEquals(1, acknowledged.size());
+        front.publisherClosed(new FakeChannel("b"));
+        assertEquals(List.of("a"), gone, "the intake hears nothing of a publisher without publications");
     }
 }
