--- a/src/main/java/slipfield/transport/amqp/ConsumerTransport.java
+++ b/src/main/java/slipfield/transport/amqp/ConsumerTransport.java
@@ -33,7 +33,7 @@
     private final EventLoop loop;
     /** Queues by name, of all consumers so far. Kept when a consumer leaves, since its expiry is reported with its queue. */
     private final Map<String, AmqpConfig.Queue> queues = new HashMap<>();
-    private final AttemptListener attempts;
+    private final AttemptListener attemptListener;
     private final ConsumerRegistry consumers;
     private final Map<String, ConnectedConsumer> connected = new HashMap<>();
     private final Map<Long, String> endpoints = new HashMap<>();
@@ -50,10 +50,10 @@
         }
     }
 
-    /** {@code awayMs}: how long a consumer that left is remembered; {@code attempts} is told how attempts end. */
-    public ConsumerTransport(EventLoop loop, long awayMs, AttemptListener attempts) {
+    /** {@code awayMs}: how long a consumer that left is remembered; {@code attemptListener} is told how attempts end. */
+    public ConsumerTransport(EventLoop loop, long awayMs, AttemptListener attemptListener) {
         this.loop = loop;
-        this.attempts = attempts;
+        this.attemptListener = attemptListener;
         this.consumers = new ConsumerRegistry(awayMs);
     }
 
@@ -61,8 +61,8 @@
 
     /** Only stores the listener: consumers connect on their own. */
     @Override
-    public void start(EndpointListener to) {
-        endpointListener = to;
+    public void start(EndpointListener listener) {
+        endpointListener = listener;
     }
 
     /** Always false: messages restored from the journal wait for the platform's endpoint list, not for the first consumer. */
@@ -272,7 +272,7 @@
                 consumer.waiting.remove(this);
             }
             // Not called directly: an attempt may end while the delivery policy is being called.
-            loop.execute(() -> attempts.ended(this, outcome, false, waitMs, LimitReport.NOTHING));
+            loop.execute(() -> attemptListener.ended(this, outcome, false, waitMs, LimitReport.NOTHING));
         }
     }
 }
