--- a/src/main/java/slipfield/amqp/server/Login.java
+++ b/src/main/java/slipfield/amqp/server/Credentials.java
@@ -17,31 +17,31 @@
 import slipfield.amqp.codec.ReplyCode;
 
 /**
- * Who somebody claims to be: SASL PLAIN (RFC 4616), AMQPLAIN (a field table of LOGIN and PASSWORD), EXTERNAL (RFC 4422, by
- * the common name of a certificate that TLS has checked).
+ * The user name and password that a client sends to log in, by SASL PLAIN (RFC 4616), AMQPLAIN (a field table of LOGIN and
+ * PASSWORD) or EXTERNAL (RFC 4422; the name is the common name of a client certificate that TLS has verified).
  *
- * @param password absent: the certificate is proof
+ * @param password absent with EXTERNAL, where the certificate is the proof
  */
-record Login(String name, Optional<String> password) {
+record Credentials(String name, Optional<String> password) {
     static final String MECHANISMS = "PLAIN AMQPLAIN";
     static final String EXTERNAL = "EXTERNAL";
 
-    static Login read(String mechanism, byte[] response, ChannelHandlerContext ctx) throws AmqpError {
+    static Credentials read(String mechanism, byte[] response, ChannelHandlerContext ctx) throws AmqpError {
         switch (mechanism) {
             case "PLAIN":
                 String[] parts = new String(response, StandardCharsets.UTF_8).split("\0", -1);
                 if (parts.length != 3) {
                     throw refused("a PLAIN response is identity, name and password with a zero octet between");
                 }
-                return new Login(parts[1], Optional.of(parts[2]));
+                return new Credentials(parts[1], Optional.of(parts[2]));
             case "AMQPLAIN":
                 Map<String, Object> fields = FieldTables.read(response);
                 if (!(fields.get("LOGIN") instanceof String name) || !(fields.get("PASSWORD") instanceof String password)) {
                     throw refused("an AMQPLAIN response is a table of LOGIN and PASSWORD");
                 }
-                return new Login(name, Optional.of(password));
+                return new Credentials(name, Optional.of(password));
             case EXTERNAL:
-                return new Login(certified(ctx), Optional.empty());
+                return new Credentials(certificateName(ctx), Optional.empty());
             default:
                 throw refused("no mechanism '" + mechanism + "'; use PLAIN, AMQPLAIN or EXTERNAL");
         }
@@ -51,7 +51,7 @@
         return new AmqpError(ReplyCode.ACCESS_REFUSED, text, MethodId.CONNECTION_START_OK);
     }
 
-    private static String certified(ChannelHandlerContext ctx) throws AmqpError {
+    private static String certificateName(ChannelHandlerContext ctx) throws AmqpError {
         SslHandler tls = ctx.pipeline().get(SslHandler.class);
         if (tls == null) {
             throw refused("EXTERNAL needs TLS and a certificate; connect to the TLS port");
