--- a/src/main/java/slipfield/client/Client.java
+++ b/src/main/java/slipfield/client/Client.java
@@ -41,10 +41,10 @@
  * grace of {@link slipfield.client.decide.Rules}). May be used from any thread; one event loop does all its work.
  */
 public final class Client implements AutoCloseable {
-    private static final long SWEEP_MS = 250;
+    private static final long IDLE_CHECK_MS = 250;
     /** A sender that does not say whether it is ready in this time is not. */
-    private static final long READY_MS = 1000;
-    private static final long CLOSE_S = 5;
+    private static final long READY_TIMEOUT_MS = 1000;
+    private static final long SHUTDOWN_S = 5;
 
     private final ClientSettings settings;
     private final Observer observer;
@@ -57,12 +57,12 @@
     private final AtomicBoolean closing = new AtomicBoolean();
     private final OrderTracker tracker;
     private final Map<String, Submission> byKey = new ConcurrentHashMap<>();
-    private final Follower follower;
+    private final FinalAnswerPoller poller;
     /** What follows is the loop's alone. */
-    private final Map<Long, Out> orders = new HashMap<>();
+    private final Map<Long, OpenOrder> orders = new HashMap<>();
     private final Map<Submission, Long> numbers = new HashMap<>();
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
-    private final Map<String, Deque<Link>> idle = new HashMap<>();
+    private final Map<String, Deque<SenderConnection>> idle = new HashMap<>();
     private final String callPrefix = Order.newKey().substring(0, 16) + "-";
     private long nextNumber;
     private long nextCall;
@@ -70,13 +70,13 @@
     private long timerMs = Long.MAX_VALUE;
     private boolean closed;
 
-    /** An order that has no end yet, and the link that its hand-in is out on. */
-    private static final class Out {
+    /** An order that has no end yet, and the connection that its hand-in is out on. */
+    private static final class OpenOrder {
         private final Submission submission;
-        private Link link;
+        private SenderConnection connection;
         private int attempt;
 
-        private Out(Submission submission) {
+        private OpenOrder(Submission submission) {
             this.submission = submission;
         }
     }
@@ -109,12 +109,12 @@
         this(settings, observer, group, false, System::nanoTime);
     }
 
-    private Client(ClientSettings settings, Observer observer, EventLoopGroup group, boolean own, LongSupplier nanoClock) {
+    private Client(ClientSettings settings, Observer observer, EventLoopGroup group, boolean ownsGroup, LongSupplier nanoClock) {
         this.nanoClock = nanoClock;
         this.startNanos = nanoClock.getAsLong();
         this.settings = settings;
         this.observer = observer;
-        this.ownGroup = own ? group : null;
+        this.ownGroup = ownsGroup ? group : null;
         this.loop = group.next();
         this.bootstrap = new Bootstrap().group(loop).channelFactory(NioSocketChannel::new)
                 .option(ChannelOption.TCP_NODELAY, true)
@@ -122,13 +122,14 @@
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        // A link adds its handlers once it stands.
+                        // A connection adds its handlers once it stands.
                     }
                 });
-        this.tracker = new OrderTracker(settings.rules(), new SplittableRandom(settings.seed()), 0, new Doing());
-        this.follower = settings.rules().follows() ? new Follower(settings.name(), loop, this::connectTo, this::told) : null;
-        loop.scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
-        settings.senders().start(list -> loop.execute(() -> listed(list)));
+        this.tracker = new OrderTracker(settings.rules(), new SplittableRandom(settings.seed()), 0, new TrackerActions());
+        this.poller = settings.rules().follows()
+                ? new FinalAnswerPoller(settings.name(), loop, this::connectTo, this::onFinalAnswer) : null;
+        loop.scheduleWithFixedDelay(this::closeIdleConnections, IDLE_CHECK_MS, IDLE_CHECK_MS, TimeUnit.MILLISECONDS);
+        settings.senders().start(list -> loop.execute(() -> updateSenders(list)));
     }
 
     private long now() {
@@ -140,25 +141,25 @@
      * Never blocks, and never throws for what senders do.
      */
     public Submission submit(Order order) {
-        Submission fresh = new Submission(order, this::cancel);
-        Submission before = byKey.putIfAbsent(order.key(), fresh);
-        if (before != null) {
-            return before;
+        Submission created = new Submission(order, this::cancel);
+        Submission existing = byKey.putIfAbsent(order.key(), created);
+        if (existing != null) {
+            return existing;
         }
         try {
             loop.execute(() -> {
                 long number = nextNumber++;
-                orders.put(number, new Out(fresh));
-                numbers.put(fresh, number);
+                orders.put(number, new OpenOrder(created));
+                numbers.put(created, number);
                 tracker.submit(now(), number, settings.rule(order.messageClass()), Long.toString(order.destination()),
                         order.tenant(), order.within().toMillis());
-                rearm();
+                rescheduleTimer();
             });
         } catch (RejectedExecutionException e) {
-            byKey.remove(order.key(), fresh);
-            fresh.ended(new End.Failed(false, "the client is closed"));
+            byKey.remove(order.key(), created);
+            created.complete(new End.Failed(false, "the client is closed"));
         }
-        return fresh;
+        return created;
     }
 
     private CompletableFuture<Boolean> cancel(Submission submission) {
@@ -167,7 +168,7 @@
             loop.execute(() -> {
                 Long number = numbers.get(submission);
                 done.complete(number != null && tracker.cancel(now(), number));
-                rearm();
+                rescheduleTimer();
             });
         } catch (RejectedExecutionException e) {
             done.complete(false);
@@ -175,7 +176,7 @@
         return done;
     }
 
-    private void listed(List<InetSocketAddress> list) {
+    private void updateSenders(List<InetSocketAddress> list) {
         List<String> names = new ArrayList<>();
         for (InetSocketAddress address : list) {
             String name = address.getAddress().getHostAddress() + ":" + address.getPort();
@@ -183,21 +184,21 @@
             names.add(name);
         }
         tracker.updateSenders(now(), names);
-        rearm();
+        rescheduleTimer();
     }
 
-    private void connectTo(Link link) {
-        link.connect(bootstrap.clone().remoteAddress(addresses.get(link.sender)));
+    private void connectTo(SenderConnection connection) {
+        connection.connect(bootstrap.clone().remoteAddress(addresses.get(connection.sender)));
     }
 
     /** The end of a hand-in, as a sender tells it. */
-    private void told(long number, int attempt, End end) {
+    private void onFinalAnswer(long number, int attempt, End end) {
         tracker.onFinalAnswer(now(), number, attempt, end);
-        rearm();
+        rescheduleTimer();
     }
 
     /** One timer, for the next thing that falls due. */
-    private void rearm() {
+    private void rescheduleTimer() {
         long next = tracker.nextTickMs();
         if (timer != null && next >= timerMs && !timer.isDone()) {
             return;
@@ -212,83 +213,83 @@
                 timerMs = Long.MAX_VALUE;
                 timer = null;
                 tracker.tick(now());
-                rearm();
+                rescheduleTimer();
             }, Math.max(1, next - now()), TimeUnit.MILLISECONDS);
         }
     }
 
     /** Connections that stood long are closed before the sender does: a hand-in that crosses its close may have run. */
-    private void sweep() {
+    private void closeIdleConnections() {
         long now = now();
-        idle.forEach((sender, links) -> {
-            while (!links.isEmpty() && now - links.peekLast().idleSinceMs >= settings.keepMs()) {
-                links.removeLast().close();
+        idle.forEach((sender, connections) -> {
+            while (!connections.isEmpty() && now - connections.peekLast().idleSinceMs >= settings.keepMs()) {
+                connections.removeLast().close();
                 tracker.onConnectionRetired(now, sender);
             }
         });
-        rearm();
+        rescheduleTimer();
     }
 
-    private void free(Link link) {
-        link.idleSinceMs = now();
-        idle.computeIfAbsent(link.sender, s -> new ArrayDeque<>()).addFirst(link);
+    private void addIdle(SenderConnection connection) {
+        connection.idleSinceMs = now();
+        idle.computeIfAbsent(connection.sender, s -> new ArrayDeque<>()).addFirst(connection);
     }
 
     /** What the tracker decides is done here. */
-    private final class Doing implements OrderTracker.Actions {
+    private final class TrackerActions implements OrderTracker.Actions {
         @Override
         public void send(long number, int attempt, String sender, long budgetMs, OrderTracker.PreviousSubmission again) {
-            Out out = orders.get(number);
-            Link link = idle.getOrDefault(sender, new ArrayDeque<>()).pollFirst();
-            out.attempt = attempt;
-            out.link = link;
-            if (link == null || !link.free()) {
+            OpenOrder open = orders.get(number);
+            SenderConnection connection = idle.getOrDefault(sender, new ArrayDeque<>()).pollFirst();
+            open.attempt = attempt;
+            open.connection = connection;
+            if (connection == null || !connection.isIdle()) {
                 // It closed in this moment; at once, or its owner would take it for one that never came up.
-                if (link != null) {
-                    link.close();
+                if (connection != null) {
+                    connection.close();
                 }
-                out.link = null;
+                open.connection = null;
                 loop.execute(() -> {
                     tracker.onReply(now(), number, attempt, SubmissionReply.unsent("the connection was closed"), false, false);
-                    rearm();
+                    rescheduleTimer();
                 });
                 return;
             }
-            ((Pool) link.owner()).out = number;
+            ((SubmissionHandler) connection.listener()).inFlight = number;
             String call = callPrefix + nextCall++;
-            if (follower != null) {
-                follower.expect(call, number, attempt);
-                follower.up(sender);
+            if (poller != null) {
+                poller.expect(call, number, attempt);
+                poller.startPolling(sender);
             }
-            link.ask(request(out.submission.order(), call, budgetMs, again));
+            connection.send(request(open.submission.order(), call, budgetMs, again));
         }
 
         @Override
         public void abandon(long number, int attempt) {
-            Out out = orders.get(number);
-            if (out != null && out.link != null) {
-                out.link.close();
-                out.link = null;
+            OpenOrder open = orders.get(number);
+            if (open != null && open.connection != null) {
+                open.connection.close();
+                open.connection = null;
             }
         }
 
         @Override
         public void connect(String sender, boolean probe) {
-            connectTo(new Link(sender, new Pool(probe)));
+            connectTo(new SenderConnection(sender, new SubmissionHandler(probe)));
         }
 
         @Override
         public void complete(long number, End end) {
-            Out out = orders.get(number);
-            if (out.link == null) {
+            OpenOrder open = orders.get(number);
+            if (open.connection == null) {
                 orders.remove(number);
             }
-            numbers.remove(out.submission);
-            byKey.remove(out.submission.order().key(), out.submission);
-            if (follower != null) {
-                follower.over(number);
+            numbers.remove(open.submission);
+            byKey.remove(open.submission.order().key(), open.submission);
+            if (poller != null) {
+                poller.forget(number);
             }
-            out.submission.ended(end);
+            open.submission.complete(end);
         }
     }
 
@@ -302,88 +303,88 @@
         if (again != OrderTracker.PreviousSubmission.NONE) {
             request.headers().set("X-Again", again == OrderTracker.PreviousSubmission.REFUSED ? "1" : "again");
         }
-        if (follower != null) {
-            request.headers().set(Follower.TO, settings.name());
+        if (poller != null) {
+            request.headers().set(FinalAnswerPoller.CLIENT_HEADER, settings.name());
         }
         return request;
     }
 
-    /** The side of a link that hands orders in. */
-    private final class Pool implements Link.Owner {
-        private boolean trial;
-        private Long out;
+    /** The side of a connection that hands orders in. */
+    private final class SubmissionHandler implements SenderConnection.Listener {
+        private boolean probe;
+        private Long inFlight;
 
-        private Pool(boolean trial) {
-            this.trial = trial;
+        private SubmissionHandler(boolean probe) {
+            this.probe = probe;
         }
 
         @Override
-        public void up(Link link) {
-            if (trial) {
-                link.get("/healthz", READY_MS);
+        public void opened(SenderConnection connection) {
+            if (probe) {
+                connection.get("/healthz", READY_TIMEOUT_MS);
             } else {
-                ready(link);
+                ready(connection);
             }
         }
 
-        private void ready(Link link) {
-            free(link);
-            observer.connected(link.sender);
-            tracker.onConnected(now(), link.sender);
-            if (follower != null) {
-                follower.up(link.sender);
+        private void ready(SenderConnection connection) {
+            addIdle(connection);
+            observer.connected(connection.sender);
+            tracker.onConnected(now(), connection.sender);
+            if (poller != null) {
+                poller.startPolling(connection.sender);
             }
-            rearm();
+            rescheduleTimer();
         }
 
         @Override
-        public void answered(Link link, FullHttpResponse answer, boolean stays) {
-            tracker.onReconnectWindow(now(), link.sender, Answers.window(answer));
-            if (trial) {
-                trial = false;
-                if (answer.status().code() == 200 && stays) {
-                    ready(link);
+        public void responded(SenderConnection connection, FullHttpResponse response, boolean keepAlive) {
+            tracker.onReconnectWindow(now(), connection.sender, SubmissionReplyParser.reconnectWindowMs(response));
+            if (probe) {
+                probe = false;
+                if (response.status().code() == 200 && keepAlive) {
+                    ready(connection);
                 } else {
-                    link.close();
-                    tracker.onConnectFailed(now(), link.sender);
-                    rearm();
+                    connection.close();
+                    tracker.onConnectFailed(now(), connection.sender);
+                    rescheduleTimer();
                 }
                 return;
             }
-            long number = out;
-            out = null;
-            Out order = orders.get(number);
-            if (stays) {
-                free(link);
+            long number = inFlight;
+            inFlight = null;
+            OpenOrder order = orders.get(number);
+            if (keepAlive) {
+                addIdle(connection);
             }
-            SubmissionReply heard = Answers.heard(answer, System.currentTimeMillis());
-            settle(number, order, heard, stays, !stays);
+            SubmissionReply reply = SubmissionReplyParser.parse(response, System.currentTimeMillis());
+            settle(number, order, reply, keepAlive, !keepAlive);
         }
 
         @Override
-        public void gone(Link link, boolean written, String why) {
-            observer.lost(link.sender, why);
-            if (out != null) {
-                long number = out;
-                out = null;
-                settle(number, orders.get(number), written ? SubmissionReply.lost(why) : SubmissionReply.unsent(why),
+        public void closed(SenderConnection connection, boolean written, String reason) {
+            observer.lost(connection.sender, reason);
+            if (inFlight != null) {
+                long number = inFlight;
+                inFlight = null;
+                settle(number, orders.get(number), written ? SubmissionReply.lost(reason) : SubmissionReply.unsent(reason),
                         false, false);
-            } else if (idle.getOrDefault(link.sender, new ArrayDeque<>()).remove(link)) {
-                tracker.onConnectionClosed(now(), link.sender, false);
+            } else if (idle.getOrDefault(connection.sender, new ArrayDeque<>()).remove(connection)) {
+                tracker.onConnectionClosed(now(), connection.sender, false);
             } else {
-                tracker.onConnectFailed(now(), link.sender);
+                tracker.onConnectFailed(now(), connection.sender);
             }
-            rearm();
+            rescheduleTimer();
         }
 
-        private void settle(long number, Out order, SubmissionReply heard, boolean stays, boolean inOrder) {
-            order.link = null;
+        private void settle(long number, OpenOrder order, SubmissionReply reply, boolean keepAlive, boolean announced) {
+            order.connection = null;
             if (numbers.get(order.submission) == null) {
                 // Its end was told before its answer came.
                 orders.remove(number);
             }
-            tracker.onReply(now(), number, order.attempt, heard, stays, inOrder);
-            rearm();
+            tracker.onReply(now(), number, order.attempt, reply, keepAlive, announced);
+            rescheduleTimer();
         }
     }
 
@@ -403,10 +404,10 @@
         loop.execute(() -> {
             closed = true;
             tracker.close(now());
-            idle.values().forEach(links -> links.forEach(Link::close));
+            idle.values().forEach(connections -> connections.forEach(SenderConnection::close));
             idle.clear();
-            if (follower != null) {
-                follower.close();
+            if (poller != null) {
+                poller.close();
             }
             if (timer != null) {
                 timer.cancel(false);
@@ -415,7 +416,7 @@
         });
         done.join();
         if (ownGroup != null) {
-            ownGroup.shutdownGracefully(1, CLOSE_S * 1000, TimeUnit.MILLISECONDS);
+            ownGroup.shutdownGracefully(1, SHUTDOWN_S * 1000, TimeUnit.MILLISECONDS);
         }
     }
 }
--- a/src/main/java/slipfield/client/ConsulSenders.java
+++ b/src/main/java/slipfield/client/ConsulSenders.java
@@ -28,8 +28,8 @@
     private static final Logger LOG = LoggerFactory.getLogger(ConsulSenders.class);
     private static final long WAIT_S = 5;
     /** Consul adds up to a sixteenth to a wait. */
-    private static final Duration MOST = Duration.ofMillis(WAIT_S * 1000 + 1000);
-    private static final long PAUSE_MS = 300;
+    private static final Duration TIMEOUT = Duration.ofMillis(WAIT_S * 1000 + 1000);
+    private static final long RETRY_DELAY_MS = 300;
 
     private final List<InetSocketAddress> agents;
     private final String service;
@@ -37,7 +37,7 @@
             .connectTimeout(Duration.ofSeconds(1)).build();
     private final JsonMapper json = JsonMapper.builder().build();
     private volatile boolean closed;
-    private int turn;
+    private int agentIndex;
     private long index;
 
     /** Senders that are registered as this service, of the first of these agents that answers. */
@@ -47,10 +47,10 @@
     }
 
     @Override
-    public void start(Consumer<List<InetSocketAddress>> told) {
-        InetSocketAddress agent = agents.get(turn % agents.size());
+    public void start(Consumer<List<InetSocketAddress>> listener) {
+        InetSocketAddress agent = agents.get(agentIndex % agents.size());
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + agent.getHostString() + ":" + agent.getPort()
-                + "/v1/health/service/" + service + "?index=" + index + "&wait=" + WAIT_S + "s")).timeout(MOST).build();
+                + "/v1/health/service/" + service + "?index=" + index + "&wait=" + WAIT_S + "s")).timeout(TIMEOUT).build();
         http.sendAsync(request, HttpResponse.BodyHandlers.ofString(StandardCharsets.UTF_8)).whenComplete((answer, fault) -> {
             if (closed) {
                 return;
@@ -64,22 +64,22 @@
                     List<InetSocketAddress> list = read(answer.body());
                     // An index that goes back begins anew (Consul's documentation of blocking queries).
                     index = next < index ? 0 : next;
-                    told.accept(list);
+                    listener.accept(list);
                 }
-                again(told, next == 0 ? PAUSE_MS : 0);
+                restart(listener, next == 0 ? RETRY_DELAY_MS : 0);
             } catch (IllegalStateException | JsonProcessingException e) {
                 LOG.warn("senders.unreadable agent={} cause={}", agent, e.getMessage());
-                turn++;
+                agentIndex++;
                 index = 0;
-                again(told, PAUSE_MS);
+                restart(listener, RETRY_DELAY_MS);
             }
         });
     }
 
-    private void again(Consumer<List<InetSocketAddress>> told, long afterMs) {
+    private void restart(Consumer<List<InetSocketAddress>> listener, long afterMs) {
         CompletableFuture.delayedExecutor(afterMs, TimeUnit.MILLISECONDS).execute(() -> {
             if (!closed) {
-                start(told);
+                start(listener);
             }
         });
     }
@@ -91,17 +91,17 @@
         }
         List<InetSocketAddress> senders = new ArrayList<>();
         for (JsonNode entry : entries) {
-            boolean serves = true;
+            boolean available = true;
             for (JsonNode check : entry.path("Checks")) {
-                serves &= !check.path("Status").asText().equals("critical");
+                available &= !check.path("Status").asText().equals("critical");
             }
             for (JsonNode tag : entry.path("Service").path("Tags")) {
-                serves &= !tag.asText().equals("draining");
+                available &= !tag.asText().equals("draining");
             }
             String host = entry.path("Service").path("Address").asText();
             String at = (host.isEmpty() ? entry.path("Node").path("Address").asText() : host) + ":"
                     + entry.path("Service").path("Port").asInt();
-            if (serves) {
+            if (available) {
                 try {
                     senders.add(SenderFile.address("", at));
                 } catch (IllegalArgumentException noAddress) {
--- a/src/main/java/slipfield/client/Link.java
+++ b/src/main/java/slipfield/client/SenderConnection.java
@@ -18,44 +18,44 @@
 import java.util.concurrent.TimeUnit;
 
 /** One connection to a sender, with one request at a time; it tells its owner what becomes of each. */
-final class Link extends SimpleChannelInboundHandler<FullHttpResponse> {
-    private static final int LONGEST_ANSWER = 64 * 1024;
+final class SenderConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private static final int MAX_RESPONSE_BYTES = 64 * 1024;
     private static final String NOT_HTTP = "an answer that can't be read";
 
-    /** Who is told, on the loop's thread. Once {@link #gone} was told nothing else is. */
-    interface Owner {
+    /** Who is told, on the loop's thread. Once {@link #closed} was told nothing else is. */
+    interface Listener {
         /** It stands. */
-        void up(Link link);
+        void opened(SenderConnection connection);
 
-        /** The answer to the request that was out; {@code stays}: another may follow. */
-        void answered(Link link, FullHttpResponse answer, boolean stays);
+        /** The answer to the request that was out; {@code keepAlive}: another may follow. */
+        void responded(SenderConnection connection, FullHttpResponse response, boolean keepAlive);
 
         /**
          * It is gone, or never came up.
          *
          * @param written whether the last byte of a request that was out may have been sent
          */
-        void gone(Link link, boolean written, String why);
+        void closed(SenderConnection connection, boolean written, String reason);
     }
 
     final String sender;
-    private final Owner owner;
+    private final Listener listener;
     private Channel channel;
-    private boolean out;
+    private boolean awaitingResponse;
     private boolean written;
-    private boolean over;
+    private boolean closed;
     /** Requests by {@link #get} so far. */
-    private int gets;
+    private int requestCount;
     /** Since when it can take a request. */
     long idleSinceMs;
 
-    Link(String sender, Owner owner) {
+    SenderConnection(String sender, Listener listener) {
         this.sender = sender;
-        this.owner = owner;
+        this.listener = listener;
     }
 
-    Owner owner() {
-        return owner;
+    Listener listener() {
+        return listener;
     }
 
     /** Connects by this bootstrap, whose remote address is the sender's. */
@@ -67,86 +67,86 @@
 
     private void connected(ChannelFuture connecting) {
         if (!connecting.isSuccess()) {
-            if (!over) {
-                gone("can't connect: " + connecting.cause().getMessage());
+            if (!closed) {
+                fail("can't connect: " + connecting.cause().getMessage());
             }
-        } else if (over) {
+        } else if (closed) {
             connecting.channel().close();
         } else {
             channel = connecting.channel();
-            channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(LONGEST_ANSWER), this);
-            owner.up(this);
+            channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_RESPONSE_BYTES), this);
+            listener.opened(this);
         }
     }
 
     /** Whether it can take a request. */
-    boolean free() {
-        return channel != null && channel.isActive() && !out && !over;
+    boolean isIdle() {
+        return channel != null && channel.isActive() && !awaitingResponse && !closed;
     }
 
-    void ask(FullHttpRequest request) {
-        out = true;
+    void send(FullHttpRequest request) {
+        awaitingResponse = true;
         written = false;
         request.headers().set(HttpHeaderNames.HOST, sender);
         channel.writeAndFlush(request).addListener(f -> written |= f.isSuccess());
     }
 
     /** Asks for a path; the answer must be whole within so many ms, or the link is gone. */
-    void get(String path, long mostMs) {
-        ask(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path, Unpooled.EMPTY_BUFFER));
-        int asked = ++gets;
+    void get(String path, long timeoutMs) {
+        send(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path, Unpooled.EMPTY_BUFFER));
+        int requestNumber = ++requestCount;
         channel.eventLoop().schedule(() -> {
-            if (out && gets == asked) {
-                gone("no answer to " + path);
+            if (awaitingResponse && requestCount == requestNumber) {
+                fail("no answer to " + path);
             }
-        }, mostMs, TimeUnit.MILLISECONDS);
+        }, timeoutMs, TimeUnit.MILLISECONDS);
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
-        if (over) {
+    protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
+        if (closed) {
             return;
         }
-        if (answer.decoderResult().isFailure()) {
-            gone(NOT_HTTP);
+        if (response.decoderResult().isFailure()) {
+            fail(NOT_HTTP);
             return;
         }
-        if (answer.status().code() < 200) {
+        if (response.status().code() < 200) {
             return;
         }
-        if (!out) {
-            gone("an answer to nothing");
+        if (!awaitingResponse) {
+            fail("an answer to nothing");
             return;
         }
-        out = false;
-        boolean stays = HttpUtil.isKeepAlive(answer);
-        if (!stays) {
+        awaitingResponse = false;
+        boolean keepAlive = HttpUtil.isKeepAlive(response);
+        if (!keepAlive) {
             close();
         }
-        owner.answered(this, answer, stays);
+        listener.responded(this, response, keepAlive);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        gone("the connection was closed");
+        fail("the connection was closed");
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        gone(cause.toString());
+        fail(cause.toString());
     }
 
-    private void gone(String why) {
-        if (!over) {
-            boolean mayBeThere = out && written;
+    private void fail(String reason) {
+        if (!closed) {
+            boolean requestWritten = awaitingResponse && written;
             close();
-            owner.gone(this, mayBeThere, why);
+            listener.closed(this, requestWritten, reason);
         }
     }
 
     /** Closes it; its owner is told nothing more. */
     void close() {
-        over = true;
+        closed = true;
         if (channel != null) {
             channel.close();
         }
--- a/src/main/java/slipfield/client/SenderFile.java
+++ b/src/main/java/slipfield/client/SenderFile.java
@@ -25,7 +25,7 @@
  */
 public final class SenderFile implements Senders {
     private static final Logger LOG = LoggerFactory.getLogger(SenderFile.class);
-    private static final long LOOK_MS = 1000;
+    private static final long CHECK_MS = 1000;
 
     private final Path path;
     private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor(run -> {
@@ -41,11 +41,11 @@
     }
 
     @Override
-    public void start(Consumer<List<InetSocketAddress>> told) {
-        thread.scheduleWithFixedDelay(() -> look(told), 0, LOOK_MS, TimeUnit.MILLISECONDS);
+    public void start(Consumer<List<InetSocketAddress>> listener) {
+        thread.scheduleWithFixedDelay(() -> reload(listener), 0, CHECK_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void look(Consumer<List<InetSocketAddress>> told) {
+    private void reload(Consumer<List<InetSocketAddress>> listener) {
         String text;
         try {
             text = Files.readString(path, StandardCharsets.UTF_8);
@@ -53,7 +53,7 @@
                 return;
             }
             last = text;
-            told.accept(read(path, text));
+            listener.accept(read(path, text));
         } catch (IOException | IllegalArgumentException e) {
             LOG.warn("senders.unreadable cause={}", e.toString());
         }
--- a/src/main/java/slipfield/client/Senders.java
+++ b/src/main/java/slipfield/client/Senders.java
@@ -7,7 +7,7 @@
 /** Where a client's senders are. */
 public interface Senders extends AutoCloseable {
     /** Begins to tell whole lists, on any thread, until closed. A list that is empty tells nothing. */
-    void start(Consumer<List<InetSocketAddress>> told);
+    void start(Consumer<List<InetSocketAddress>> listener);
 
     @Override
     default void close() {
@@ -16,6 +16,6 @@
     /** These, for good. */
     static Senders of(List<InetSocketAddress> addresses) {
         List<InetSocketAddress> all = List.copyOf(addresses);
-        return told -> told.accept(all);
+        return listener -> listener.accept(all);
     }
 }
--- a/src/main/java/slipfield/client/Submission.java
+++ b/src/main/java/slipfield/client/Submission.java
@@ -38,15 +38,15 @@
      *
      * @throws TimeoutException after so many ms: the order is as it was
      */
-    public End await(long mostMs) throws InterruptedException, TimeoutException {
+    public End await(long timeoutMs) throws InterruptedException, TimeoutException {
         try {
-            return end.get(mostMs, TimeUnit.MILLISECONDS);
+            return end.get(timeoutMs, TimeUnit.MILLISECONDS);
         } catch (ExecutionException e) {
             throw new IllegalStateException("an end is never an exception", e);
         }
     }
 
-    void ended(End how) {
-        end.complete(how);
+    void complete(End answer) {
+        end.complete(answer);
     }
 }
--- a/src/main/java/slipfield/daemon/AmqpParts.java
+++ b/src/main/java/slipfield/daemon/AmqpComponents.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import slipfield.amqp.AmqpConfig;
-import slipfield.amqp.client.BrokerLinks;
+import slipfield.amqp.client.Brokers;
 import slipfield.amqp.server.AmqpServer;
 import slipfield.amqp.server.ConnectionReport;
 import slipfield.config.BadInput;
@@ -18,16 +18,16 @@
 import slipfield.core.Frontend;
 import slipfield.core.MessageIntake;
 import slipfield.core.Transport;
-import slipfield.front.amqp.PublisherFrontend;
+import slipfield.front.amqp.Publications;
 import slipfield.journal.PendingAnswer;
 import slipfield.state.BackgroundJsonFile;
 import slipfield.work.Worker;
-import slipfield.transport.amqp.ConsumerTransport;
+import slipfield.transport.amqp.Queues;
 
 /** What AMQP adds to a sender. No class of it is loaded unless the operator's file is named. */
-final class AmqpParts {
+final class AmqpComponents {
     /** The outcome's and the directory's name. */
-    static final String NAME = PublisherFrontend.NAME;
+    static final String NAME = Publications.NAME;
 
     /** The file of what stands, in the state folder, written so often. */
     static final String VIEW = "amqp.json";
@@ -36,19 +36,19 @@
 
     private final AmqpConfig config;
     private AmqpServer server;
-    private ConsumerTransport queues;
-    private PublisherFrontend publishers;
+    private Queues queues;
+    private Publications publications;
     private final BackgroundJsonFile view;
     private EventLoop loop;
     private String epoch;
 
-    private AmqpParts(AmqpConfig config, Path state) {
+    private AmqpComponents(AmqpConfig config, Path state) {
         this.config = config;
         this.view = new BackgroundJsonFile(state.resolve(VIEW), "amqp.view_unwritable");
     }
 
-    static AmqpParts read(Path file, Config sender) throws IOException, BadInput {
-        return new AmqpParts(AmqpConfig.read(file, new AmqpConfig.KnownNames(sender.classes(), sender.tenants(),
+    static AmqpComponents read(Path file, Config sender) throws IOException, BadInput {
+        return new AmqpComponents(AmqpConfig.read(file, new AmqpConfig.Known(sender.classes(), sender.tenants(),
                 sender.kinds(), sender.zones())), sender.state());
     }
 
@@ -56,23 +56,23 @@
     record View(long writtenMs, List<ConnectionReport> connections) {
     }
 
-    int idsKnown() {
+    int rememberedIds() {
         return config.limits().knownIds();
     }
 
-    Transport beside(Transport network, EventLoop loop, Worker worker, Transport.AttemptListener ends) {
+    Transport transport(Transport network, EventLoop loop, Worker worker, Transport.AttemptListener ends) {
         view.setWorker(worker);
         epoch = Long.toHexString(System.currentTimeMillis());
         server = new AmqpServer(loop, config, epoch);
         this.loop = loop;
-        queues = new ConsumerTransport(loop, config.limits().awayMs(), ends);
-        return new Ways(network, queues);
+        queues = new Queues(loop, config.limits().awayMs(), ends);
+        return new RoutingTransport(network, queues);
     }
 
-    AnswerChannel outcome(Consumer<PendingAnswer> heard) {
-        publishers = new PublisherFrontend(server, config.routes(), heard);
-        server.setHandlers(publishers, queues);
-        return publishers;
+    AnswerChannel answerChannel(Consumer<PendingAnswer> heard) {
+        publications = new Publications(server, config.routes(), heard);
+        server.over(publications, queues);
+        return publications;
     }
 
     Directory directory() {
@@ -93,12 +93,12 @@
     }
 
     List<InetSocketAddress> addresses() {
-        return publishers.addresses();
+        return publications.addresses();
     }
 
-    Frontend front(MessageIntake desk) throws IOException {
-        publishers.setIntake(desk, new BrokerLinks(loop, config, epoch, queues, publishers));
+    Frontend frontend(MessageIntake desk) throws IOException {
+        publications.over(desk, new Brokers(loop, config, epoch, queues, publications));
         writeView();
-        return publishers;
+        return publications;
     }
 }
--- a/src/main/java/slipfield/daemon/Background.java
+++ b/src/main/java/slipfield/daemon/BackgroundWork.java
@@ -9,7 +9,7 @@
 import slipfield.work.decide.Scheduler;
 
 /** The sender's background work, and the file that tells people of it. Made only where something needs it. */
-final class Background {
+final class BackgroundWork {
     /** The file of what there is to do, in the state folder. */
     static final String VIEW = "work.json";
     private static final Worker.Limits LIMITS = new Worker.Limits(10_000, 0.1, 500);
@@ -25,7 +25,7 @@
     }
 
     /** On this loop; made there. */
-    Background(EventLoop loop, Path state) {
+    BackgroundWork(EventLoop loop, Path state) {
         this.loop = loop;
         this.worker = new Worker(loop, LIMITS);
         worker.registerKind(BackgroundJsonFile.KIND);
--- a/src/main/java/slipfield/daemon/Daemon.java
+++ b/src/main/java/slipfield/daemon/Daemon.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import slipfield.agent.AgentClient;
+import slipfield.agent.Agent;
 import slipfield.amqp.server.ConnectionReport;
 import slipfield.config.BadInput;
 import slipfield.config.Config;
@@ -25,7 +25,7 @@
 import slipfield.directory.Discovery;
 import slipfield.directory.merged.Members;
 import slipfield.fleet.Asking;
-import slipfield.front.http.HttpFrontend;
+import slipfield.front.http.Intake;
 import slipfield.journal.AnswerRecipient;
 import slipfield.journal.ProcessClock;
 import slipfield.journal.PendingAnswer;
@@ -34,7 +34,7 @@
 import slipfield.outcome.ends.ClientsConfig;
 import slipfield.outcome.PlatformNotices;
 import slipfield.trace.Trace;
-import slipfield.transport.http.HttpTransport;
+import slipfield.transport.http.Endpoints;
 
 /** A sender with the parts that its configuration names, and the signals that it heeds. */
 public final class Daemon implements SenderComponents {
@@ -43,44 +43,44 @@
     /** Share of the rest for clients, who may hold a third of all for requests; the others are for calls. */
     private static final double CLIENT_SHARE = 0.6;
     /** From SIGTERM: new connections come for so long at most, in ms. */
-    static final long TAKING_MS = 450;
+    static final long ACCEPTING_MS = 450;
     /** From SIGTERM: calls out may last till here; SIGKILL may come at 3.7 s. */
     static final long CLOSING_MS = 3300;
     /** From SIGTERM: so long its own registration elsewhere may take to be taken back. */
-    private static final long LEAVING_MS = 200;
+    private static final long DEREGISTER_MS = 200;
 
     private final Config config;
     private final Sender sender;
     private final int mostClients;
     private final int mostIdle;
     private InetSocketAddress agentAddress;
-    private HttpTransport endpoints;
+    private Endpoints endpoints;
     private PlatformNotices notices;
     private Discovery discovery;
-    private HttpFrontend intake;
+    private Intake intake;
     /** Absent unless the operator has named a file of sources: no class of them is loaded without. */
     private Members members;
     /** Absent unless the operator's file of clients is set. */
     private ClientsConfig clients;
     private ClientAnswers ends;
     /** Absent unless the operator's file of AMQP is set: no class of it is loaded without. */
-    private AmqpParts amqp;
+    private AmqpComponents amqp;
     /** Absent unless a part has work that may wait. */
-    private Background background;
+    private BackgroundWork background;
     private List<InetSocketAddress> addresses = List.of();
 
     /** As the program runs it. */
     public Daemon(Config config) {
-        this(config, TAKING_MS, CLOSING_MS, ProcessClock.system());
+        this(config, ACCEPTING_MS, CLOSING_MS, ProcessClock.system());
     }
 
-    Daemon(Config config, long takingMs, long closingMs, ProcessClock life) {
+    Daemon(Config config, long acceptingMs, long closingMs, ProcessClock life) {
         this.config = config;
         this.agentAddress = config.discovery();
         int sockets = Math.max(config.sockets() - OTHER_SOCKETS, 64);
         this.mostClients = (int) (sockets * CLIENT_SHARE);
         this.mostIdle = Math.max(1, sockets - mostClients - config.settings().slots());
-        this.sender = new Sender(config, this, takingMs, closingMs, life);
+        this.sender = new Sender(config, this, acceptingMs, closingMs, life);
     }
 
     /** Runs a sender until it is told to end; returns the exit code. */
@@ -88,7 +88,7 @@
         InternalLoggerFactory.setDefaultFactory(Slf4JLoggerFactory.INSTANCE);
         try {
             Daemon daemon = new Daemon(Config.read(env));
-            Hangup.handle(() -> daemon.reload(env));
+            SighupHandler.handle(() -> daemon.reload(env));
             daemon.start();
             Runtime.getRuntime().addShutdownHook(new Thread(daemon::drain, "drain"));
             daemon.sender.await();
@@ -110,7 +110,7 @@
             clients = ClientsConfig.read(config.clients().get());
         }
         if (config.amqp().isPresent()) {
-            amqp = AmqpParts.read(config.amqp().get(), config);
+            amqp = AmqpComponents.read(config.amqp().get(), config);
         }
         addresses = sender.start();
         InetSocketAddress address = addresses.get(0);
@@ -131,14 +131,14 @@
     }
 
     /** What stands at AMQP; nothing where it is off. */
-    List<ConnectionReport> amqp() {
+    List<ConnectionReport> amqpConnections() {
         return amqp == null ? List.of() : sender.loop().submit(amqp::report).syncUninterruptibly().getNow();
     }
 
     /** Ends in order, within the time before SIGKILL. */
     public void drain() {
         if (members != null) {
-            members.leaving(LEAVING_MS);
+            members.leaving(DEREGISTER_MS);
         }
         sender.drain();
         endBackground();
@@ -160,7 +160,7 @@
         return sender.loop();
     }
 
-    int recoveryTurns() {
+    int recoveryBatches() {
         return sender.recoveryBatches();
     }
 
@@ -182,15 +182,15 @@
         Log.info("config.reloaded", "discovery", Config.hostPort(address));
         if (!address.equals(agentAddress)) {
             agentAddress = address;
-            discovery.moveTo(new AgentClient(sender.loop(), address));
-            notices.switchAgent(() -> new AgentClient(sender.loop(), address));
+            discovery.moveTo(new Agent(sender.loop(), address));
+            notices.switchAgent(() -> new Agent(sender.loop(), address));
         }
     }
 
     /** Made with the first part that needs it. */
-    private Background background(EventLoop loop) {
+    private BackgroundWork background(EventLoop loop) {
         if (background == null) {
-            background = new Background(loop, config.state());
+            background = new BackgroundWork(loop, config.state());
         }
         return background;
     }
@@ -203,18 +203,18 @@
 
     @Override
     public int rememberedIds() {
-        return amqp == null ? SenderComponents.super.rememberedIds() : amqp.idsKnown();
+        return amqp == null ? SenderComponents.super.rememberedIds() : amqp.rememberedIds();
     }
 
     @Override
     public Transport transport(EventLoop loop, Transport.AttemptListener ends) {
-        endpoints = new HttpTransport(loop, config.connectTimeoutMs(), config.settings().keepAliveMs(), mostIdle, ends);
-        return amqp == null ? endpoints : amqp.beside(endpoints, loop, background(loop).worker(), ends);
+        endpoints = new Endpoints(loop, config.connectTimeoutMs(), config.settings().keepAliveMs(), mostIdle, ends);
+        return amqp == null ? endpoints : amqp.transport(endpoints, loop, background(loop).worker(), ends);
     }
 
     @Override
     public Map<String, AnswerChannel> answerChannels(EventLoop loop, Consumer<PendingAnswer> heard) {
-        notices = new PlatformNotices(loop, () -> new AgentClient(loop, agentAddress), heard);
+        notices = new PlatformNotices(loop, () -> new Agent(loop, agentAddress), heard);
         Map<String, AnswerChannel> outcomes = new LinkedHashMap<>();
         outcomes.put(AnswerRecipient.PLATFORM.channel(), notices);
         if (clients != null && clients.ends().isPresent()) {
@@ -222,14 +222,14 @@
             outcomes.put(ClientAnswers.NAME, ends);
         }
         if (amqp != null) {
-            outcomes.put(AmqpParts.NAME, amqp.outcome(heard));
+            outcomes.put(AmqpComponents.NAME, amqp.answerChannel(heard));
         }
         return outcomes;
     }
 
     @Override
     public Map<String, Directory> directories(EventLoop loop) {
-        discovery = new Discovery(loop, new AgentClient(loop, agentAddress), config.knownEndpoints(),
+        discovery = new Discovery(loop, new Agent(loop, agentAddress), config.knownEndpoints(),
                 new Asking(config.settings().senders(), new SplittableRandom(config.seed())));
         Map<String, Directory> directories = new LinkedHashMap<>();
         if (members == null) {
@@ -239,26 +239,26 @@
             directories.put("members", members);
         }
         if (amqp != null) {
-            directories.put(AmqpParts.NAME, amqp.directory());
+            directories.put(AmqpComponents.NAME, amqp.directory());
         }
         return directories;
     }
 
     @Override
     public List<Frontend> frontends(EventLoop loop, MessageIntake desk) throws IOException {
-        intake = new HttpFrontend(loop, config.listen(), mostClients, desk, clients == null ? HttpFrontend.Extensions.NONE
-                : new HttpFrontend.Extensions(clients.reconnectMs(), clients.waitScope(), Optional.ofNullable(ends)));
-        return amqp == null ? List.of(intake) : List.of(intake, amqp.front(desk));
+        intake = new Intake(loop, config.listen(), mostClients, desk, clients == null ? Intake.Hints.NONE
+                : new Intake.Hints(clients.reconnectMs(), clients.waitScope(), Optional.ofNullable(ends)));
+        return amqp == null ? List.of(intake) : List.of(intake, amqp.frontend(desk));
     }
 
     @Override
     public void enableTrace(Trace trace) {
-        endpoints.setTrace(trace);
-        intake.setTrace(trace);
+        endpoints.traced(trace);
+        intake.traced(trace);
     }
 
     @Override
     public void warmUp(EventLoop loop, long mostMs, Runnable then) {
-        new Rehearsal(loop, config, mostMs, then).play();
+        new WarmUp(loop, config, mostMs, then).play();
     }
 }
--- a/src/main/java/slipfield/daemon/Ways.java
+++ b/src/main/java/slipfield/daemon/RoutingTransport.java
@@ -9,12 +9,12 @@
 import slipfield.transport.amqp.ConsumerAddress;
 
 /** Two transports as one: an endpoint's address says which is its. */
-final class Ways implements Transport {
+final class RoutingTransport implements Transport {
     private final Transport network;
     private final Transport queues;
     private final Set<Long> consumers = new HashSet<>();
 
-    Ways(Transport network, Transport queues) {
+    RoutingTransport(Transport network, Transport queues) {
         this.network = network;
         this.queues = queues;
     }
@@ -49,7 +49,8 @@
     }
 
     @Override
-    public Attempt attempt(PendingMessage held, int number, long endpoint, DeliveryPolicy.AttemptTiming within, long decidedNanos) {
+    public Attempt attempt(PendingMessage held, int number, long endpoint, DeliveryPolicy.AttemptTiming within,
+            long decidedNanos) {
         return of(endpoint).attempt(held, number, endpoint, within, decidedNanos);
     }
 
--- a/src/main/java/slipfield/daemon/Hangup.java
+++ b/src/main/java/slipfield/daemon/SighupHandler.java
@@ -9,8 +9,8 @@
  * SIGHUP, which by default ends a JVM. Java has no supported interface to signals, so the JDK's own one is
  * called by reflection: the compiler warns of any mention of it, and a JVM without it only loses the reload.
  */
-final class Hangup {
-    private Hangup() {
+final class SighupHandler {
+    private SighupHandler() {
     }
 
     /** Runs this at each SIGHUP from now on, one at a time and in order, on a thread of its own. */
@@ -23,7 +23,7 @@
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object proxy = Proxy.newProxyInstance(Hangup.class.getClassLoader(), new Class<?>[] {handler},
+            Object proxy = Proxy.newProxyInstance(SighupHandler.class.getClassLoader(), new Class<?>[] {handler},
                     (self, method, args) -> {
                         if (method.getName().equals("handle")) {
                             thread.execute(told);
--- a/src/main/java/slipfield/daemon/Rehearsal.java
+++ b/src/main/java/slipfield/daemon/WarmUp.java
@@ -7,11 +7,11 @@
 import java.util.concurrent.TimeUnit;
 import slipfield.config.Config;
 import slipfield.core.MessageIntake;
-import slipfield.front.http.HttpFrontend;
+import slipfield.front.http.Intake;
 import slipfield.journal.AnswerRecipient;
 import slipfield.journal.PendingMessage;
 import slipfield.policy.DeliveryPolicy;
-import slipfield.transport.http.HttpTransport;
+import slipfield.transport.http.Endpoints;
 
 /**
  * Messages that nobody sent, through the client side, a decision module and the calls' side of their own, in memory, before the
@@ -20,7 +20,7 @@
  * under load, when requests stand unread and ends come late. Nothing of it reaches a socket, the journal, or the
  * state of the sender. In slices, with the loop free between them, and for a bounded time.
  */
-public final class Rehearsal {
+public final class WarmUp {
     /** Calls after which most of the way is compiled. */
     public static final int MESSAGES = 200;
     private static final int SLICE = 8;
@@ -32,8 +32,8 @@
     private final Runnable then;
     private final long begun = System.nanoTime();
     private final DeliveryPolicy.Settings settings;
-    private final HttpFrontend intake;
-    private final HttpTransport endpoints;
+    private final Intake intake;
+    private final Endpoints endpoints;
     private final PendingMessage held;
     private final Stage stage = new Stage();
     private final DeliveryPolicy policy;
@@ -41,13 +41,13 @@
     private int played;
 
     /** For so many milliseconds at most; then the sender listens, by {@code then}. */
-    public Rehearsal(EventLoop loop, Config config, long mostMs, Runnable then) {
+    public WarmUp(EventLoop loop, Config config, long mostMs, Runnable then) {
         this.loop = loop;
         this.mostNanos = TimeUnit.MILLISECONDS.toNanos(mostMs);
         this.then = then;
         this.settings = config.settings();
-        this.intake = new HttpFrontend(loop, config.listen(), Integer.MAX_VALUE, stage);
-        this.endpoints = new HttpTransport(loop, 1000, 1000, 0, (call, outcome, gone, waitMs, told) -> { });
+        this.intake = new Intake(loop, config.listen(), Integer.MAX_VALUE, stage);
+        this.endpoints = new Endpoints(loop, 1000, 1000, 0, (call, outcome, gone, waitMs, told) -> { });
         this.held = new PendingMessage(0, "0123456789abcdef", "rehearsal", "", Optional.of("0123456789abcdef"), 1, 0,
                 new byte[2]);
         this.policy = DeliveryPolicy.create(settings, 0, stage);
@@ -68,9 +68,9 @@
         }
         for (int i = 0; i < SLICE; i++) {
             played++;
-            intake.warmUp(request);
+            intake.rehearse(request);
             decide();
-            endpoints.warmUp(held, ANSWER);
+            endpoints.rehearse(held, ANSWER);
         }
         loop.schedule(this::play, 0, TimeUnit.MILLISECONDS);
     }
--- a/src/test/java/slipfield/client/AnswersTest.java
+++ b/src/test/java/slipfield/client/SubmissionReplyParserTest.java
@@ -18,7 +18,7 @@
 import slipfield.client.decide.SubmissionReply;
 
 /** What is read of a sender's answer, whatever stands in it. */
-class AnswersTest {
+class SubmissionReplyParserTest {
     /** Thu, 01 Jan 2026 00:00:00 GMT. */
     private static final long WALL_MS = 1_767_225_600_000L;
 
@@ -32,12 +32,12 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"1, 1000", "0.25, 250", "1e9, 1000000000000", "1e300, 1000000000000", "Infinity, 1000000000000", "-5, 0", "NaN, 0",
-        "'', 0", "soon, 0", "'Thu, 01 Jan 2026 00:00:30 GMT', 30000", "'Wed, 31 Dec 2025 00:00:00 GMT', 0",
+    @CsvSource({"1, 1000", "0.25, 250", "1e9, 1000000000000", "1e300, 1000000000000", "Infinity, 1000000000000", "-5, 0",
+        "NaN, 0", "'', 0", "soon, 0", "'Thu, 01 Jan 2026 00:00:30 GMT', 30000", "'Wed, 31 Dec 2025 00:00:00 GMT', 0",
         "'Fri, 01 Jan 9999 00:00:00 GMT', 1000000000000", "1;2, 0"})
     void aWaitIsReadOrTellsNothing(String text, long ms) {
-        assertEquals(ms, Answers.waitMs(text, WALL_MS));
-        SubmissionReply heard = Answers.heard(answer(503, "Retry-After", text), WALL_MS);
+        assertEquals(ms, SubmissionReplyParser.retryAfterMs(text, WALL_MS));
+        SubmissionReply heard = SubmissionReplyParser.parse(answer(503, "Retry-After", text), WALL_MS);
         assertEquals(SubmissionReply.Kind.REFUSED, heard.kind());
         assertEquals(ms, heard.retryAfterMs());
     }
@@ -46,24 +46,25 @@
     @CsvSource({"202, ACCEPTED", "200, ACCEPTED", "429, REFUSED", "503, REFUSED", "400, REJECTED", "404, REJECTED",
         "405, REJECTED", "413, REJECTED", "408, UNSENT", "409, LOST", "500, LOST", "504, LOST", "302, LOST", "201, LOST"})
     void aStatusProvesWhatTheProtocolSays(int status, SubmissionReply.Kind kind) {
-        assertEquals(kind, Answers.heard(answer(status), WALL_MS).kind());
+        assertEquals(kind, SubmissionReplyParser.parse(answer(status), WALL_MS).kind());
     }
 
     @Test
     void aScopeThatIsNotKnownIsTheSenders() {
-        assertEquals(SubmissionReply.Scope.TENANT, Answers.heard(answer(503, "X-Wait-Scope", "Tenant"), 0).scope());
-        assertEquals(SubmissionReply.Scope.DESTINATION, Answers.heard(answer(503, "X-Wait-Scope", "destination"), 0).scope());
-        assertEquals(SubmissionReply.Scope.SENDER, Answers.heard(answer(503, "X-Wait-Scope", "galaxy"), 0).scope());
-        assertEquals(SubmissionReply.Scope.SENDER, Answers.heard(answer(503), 0).scope());
-        assertEquals("503 reason", Answers.heard(answer(503), 0).why());
+        assertEquals(SubmissionReply.Scope.TENANT, SubmissionReplyParser.parse(answer(503, "X-Wait-Scope", "Tenant"), 0).scope());
+        assertEquals(SubmissionReply.Scope.DESTINATION,
+                SubmissionReplyParser.parse(answer(503, "X-Wait-Scope", "destination"), 0).scope());
+        assertEquals(SubmissionReply.Scope.SENDER, SubmissionReplyParser.parse(answer(503, "X-Wait-Scope", "galaxy"), 0).scope());
+        assertEquals(SubmissionReply.Scope.SENDER, SubmissionReplyParser.parse(answer(503), 0).scope());
+        assertEquals("503 reason", SubmissionReplyParser.parse(answer(503), 0).why());
     }
 
     @Test
     void aWindowIsANumberOrNone() {
-        assertEquals(1500, Answers.window(answer(200, "X-Reconnect-Within-Ms", "1500")));
-        assertEquals(-1, Answers.window(answer(200, "X-Reconnect-Within-Ms", "-1500")));
-        assertEquals(-1, Answers.window(answer(200, "X-Reconnect-Within-Ms", "99999999999")));
-        assertEquals(-1, Answers.window(answer(200)));
+        assertEquals(1500, SubmissionReplyParser.reconnectWindowMs(answer(200, "X-Reconnect-Within-Ms", "1500")));
+        assertEquals(-1, SubmissionReplyParser.reconnectWindowMs(answer(200, "X-Reconnect-Within-Ms", "-1500")));
+        assertEquals(-1, SubmissionReplyParser.reconnectWindowMs(answer(200, "X-Reconnect-Within-Ms", "99999999999")));
+        assertEquals(-1, SubmissionReplyParser.reconnectWindowMs(answer(200)));
     }
 
     @Test
--- a/src/test/java/slipfield/daemon/AmqpBrokersTest.java
+++ b/src/test/java/slipfield/daemon/AmqpBrokersTest.java
@@ -33,19 +33,19 @@
     private int port;
     private TrialWorld elsewhere;
     private SenderProcess broker;
-    private AmqpWorld here;
+    private AmqpFixture here;
 
     @BeforeEach
     void open() throws Exception {
         port = TrialWorld.freeAddress().getPort();
         Path there = Files.createDirectory(folder.resolve("there"));
         elsewhere = new TrialWorld(there, new TrialWorld.Size(1, 1e6, 0, 24_000, 4000, 256));
-        Files.writeString(there.resolve("amqp.yaml"), AmqpWorld.file("127.0.0.1:" + port, ""));
+        Files.writeString(there.resolve("amqp.yaml"), AmqpFixture.file("127.0.0.1:" + port, ""));
         broker = new SenderProcess(there, List.of(), SenderProcess.SMALL);
         broker.start();
         Path own = Files.createDirectory(folder.resolve("here"));
-        Files.writeString(own.resolve("secret"), AmqpWorld.PASSWORD + "\n");
-        here = new AmqpWorld(own, """
+        Files.writeString(own.resolve("secret"), AmqpFixture.PASSWORD + "\n");
+        here = new AmqpFixture(own, """
                 outbound:
                   - {name: there, address: "127.0.0.1:%d", user: desk, password_file: secret, exchange: orders, key: order.1,
                      destination: 9, kind: m, zone: a}
@@ -73,7 +73,7 @@
     }
 
     private Channel publisher(int at) throws Exception {
-        Connection connection = AmqpWorld.factory("desk", at).newConnection();
+        Connection connection = AmqpFixture.factory("desk", at).newConnection();
         connections.add(connection);
         Channel channel = connection.createChannel();
         channel.confirmSelect();
@@ -81,7 +81,7 @@
     }
 
     private static void publish(Channel channel, String key, String id) throws Exception {
-        channel.basicPublish(AmqpWorld.EXCHANGE, key, true, new AMQP.BasicProperties.Builder().messageId(id)
+        channel.basicPublish(AmqpFixture.EXCHANGE, key, true, new AMQP.BasicProperties.Builder().messageId(id)
                 .correlationId("key-" + id).build(), new byte[10]);
     }
 
@@ -121,7 +121,7 @@
         awaitLinks(publisher(port), own);
         List<String> back = new CopyOnWriteArrayList<>();
         own.addReturnListener(r -> back.add(r.getProperties().getHeaders().get("x-slipfield-end").toString()));
-        own.basicPublish(AmqpWorld.EXCHANGE, "once.8", true, new AMQP.BasicProperties.Builder().messageId("lost")
+        own.basicPublish(AmqpFixture.EXCHANGE, "once.8", true, new AMQP.BasicProperties.Builder().messageId("lost")
                 .expiration("3000").build(), new byte[10]);
         own.waitForConfirms(SOON_MS);
         assertEquals(List.of("refused"), back);
--- a/src/test/java/slipfield/daemon/AmqpBurstTest.java
+++ b/src/test/java/slipfield/daemon/AmqpBurstTest.java
@@ -71,7 +71,7 @@
         private void open() throws IOException {
             Channel channel = connection.createChannel();
             channel.basicQos(100);
-            channel.basicConsume(AmqpWorld.QUEUE, false, tag, new DefaultConsumer(channel) {
+            channel.basicConsume(AmqpFixture.QUEUE, false, tag, new DefaultConsumer(channel) {
                 private boolean killed;
 
                 @Override
@@ -151,7 +151,7 @@
                 }
                 i++;
                 out.put(channel.getNextPublishSeqNo(), id);
-                channel.basicPublish(AmqpWorld.EXCHANGE, id.substring(0, id.indexOf('-')) + ".7", true,
+                channel.basicPublish(AmqpFixture.EXCHANGE, id.substring(0, id.indexOf('-')) + ".7", true,
                         new AMQP.BasicProperties.Builder().messageId(id).correlationId(id).build(),
                         id.getBytes(StandardCharsets.UTF_8));
             }
@@ -195,7 +195,7 @@
     @Test
     void channelsAreKilledAndEachMessageIsSettledOnce() throws Exception {
         List<Connection> connections = new ArrayList<>();
-        try (AmqpWorld world = new AmqpWorld(folder, "limits: {unsettled: 4000, prefetch: 200}\n").start()) {
+        try (AmqpFixture world = new AmqpFixture(folder, "limits: {unsettled: 4000, prefetch: 200}\n").start()) {
             for (int i = 0; i < CONSUMERS; i++) {
                 connections.add(world.connect("broker"));
                 new Consuming(connections.get(i), i);
--- a/src/test/java/slipfield/daemon/AmqpWorld.java
+++ b/src/test/java/slipfield/daemon/AmqpFixture.java
@@ -15,7 +15,7 @@
 import slipfield.standin.TrialWorld;
 
 /** A sender in this process with AMQP on, one venue over HTTP (destination 1), and a queue (destination 7). */
-final class AmqpWorld implements AutoCloseable {
+final class AmqpFixture implements AutoCloseable {
     static final String PASSWORD = "secret of tests";
     static final String QUEUE = "venue-7";
     static final String EXCHANGE = "orders";
@@ -28,16 +28,16 @@
     final Path folder;
     Daemon daemon;
 
-    AmqpWorld(Path folder) throws Exception {
+    AmqpFixture(Path folder) throws Exception {
         this(folder, "limits: {heartbeat: 10s}\n");
     }
 
     /** {@code more}: what the file has besides listener, users, exchanges and queues. */
-    AmqpWorld(Path folder, String more) throws Exception {
+    AmqpFixture(Path folder, String more) throws Exception {
         this(folder, more, GIVE_UP_MS);
     }
 
-    AmqpWorld(Path folder, String more, long giveUpMs) throws Exception {
+    AmqpFixture(Path folder, String more, long giveUpMs) throws Exception {
         this.folder = folder;
         world = new TrialWorld(folder, new TrialWorld.Size(1, 1e6, 0, giveUpMs, 4000, 256));
         Files.writeString(folder.resolve("amqp.yaml"), file("127.0.0.1:0", more));
@@ -60,7 +60,7 @@
                 """.formatted(listen, HASHED, HASHED) + more;
     }
 
-    AmqpWorld start() throws Exception {
+    AmqpFixture start() throws Exception {
         daemon = new Daemon(Config.read(Map.of("GW_CONFIG", folder.resolve("config.json").toString(), "GW_STATE",
                 folder.resolve("state").toString(), "SLIPFIELD_AMQP", folder.resolve("amqp.yaml").toString())));
         daemon.start();
@@ -72,7 +72,7 @@
     }
 
     List<ConnectionReport> report() {
-        return daemon.amqp();
+        return daemon.amqpConnections();
     }
 
     static ConnectionFactory factory(String user, int port) {
--- a/src/test/java/slipfield/daemon/AmqpFramesTest.java
+++ b/src/test/java/slipfield/daemon/AmqpFramesTest.java
@@ -33,15 +33,15 @@
 /** What a good client can't send, frame by frame, against the whole sender; and that others are served meanwhile. */
 @Timeout(120)
 class AmqpFramesTest {
-    private static final Method PUBLISH = Method.of(MethodId.BASIC_PUBLISH, 0, AmqpWorld.EXCHANGE, "order.1", true, false);
+    private static final Method PUBLISH = Method.of(MethodId.BASIC_PUBLISH, 0, AmqpFixture.EXCHANGE, "order.1", true, false);
 
     @TempDir
     private Path folder;
-    private AmqpWorld world;
+    private AmqpFixture world;
 
     @BeforeEach
     void open() throws Exception {
-        world = new AmqpWorld(folder, "limits: {heartbeat: 1s, body_octets: 20000, unsettled: 300, unsettled_each: 200, "
+        world = new AmqpFixture(folder, "limits: {heartbeat: 1s, body_octets: 20000, unsettled: 300, unsettled_each: 200, "
                 + "connections: 80}\n").start();
     }
 
@@ -154,9 +154,10 @@
             p.send(new Frame.OfHeader(1, 20_001, Properties.NONE));
         });
         closesChannel(406, p -> p.send(1, MethodId.BASIC_ACK, 1L, false));
-        closesChannel(403, p -> p.send(1, MethodId.BASIC_CONSUME, 0, AmqpWorld.QUEUE, "", false, false, false, false, Map.of()));
+        closesChannel(403, p -> p.send(1, MethodId.BASIC_CONSUME, 0, AmqpFixture.QUEUE, "", false, false, false, false,
+                Map.of()));
         closesChannel(404, p -> p.send(1, MethodId.QUEUE_DECLARE, 0, "nowhere", false, false, false, false, false, Map.of()));
-        closesChannel(403, p -> p.send(1, MethodId.QUEUE_DELETE, 0, AmqpWorld.QUEUE, false, false, false));
+        closesChannel(403, p -> p.send(1, MethodId.QUEUE_DELETE, 0, AmqpFixture.QUEUE, false, false, false));
         othersAreServed();
     }
 
@@ -205,7 +206,7 @@
         int most = 200_000;
         try (RawPeer peer = peer("desk")) {
             confirms(peer);
-            byte[] lost = peer.octets(new Frame.Content(1, Method.of(MethodId.BASIC_PUBLISH, 0, AmqpWorld.EXCHANGE, "nowhere",
+            byte[] lost = peer.octets(new Frame.Content(1, Method.of(MethodId.BASIC_PUBLISH, 0, AmqpFixture.EXCHANGE, "nowhere",
                     true, false), Properties.NONE, new byte[1000]));
             Thread flood = new Thread(() -> {
                 try {
@@ -231,13 +232,13 @@
     void publishesByTheThousandArePausedAndAllConfirmed() throws Exception {
         try (RawPeer consumer = peer("broker"); RawPeer peer = peer("desk")) {
             consumer.send(1, MethodId.BASIC_QOS, 0L, 64, false);
-            consumer.send(1, MethodId.BASIC_CONSUME, 0, AmqpWorld.QUEUE, "c", false, false, false, false, Map.of());
+            consumer.send(1, MethodId.BASIC_CONSUME, 0, AmqpFixture.QUEUE, "c", false, false, false, false, Map.of());
             consumer.await(MethodId.BASIC_CONSUME_OK);
             confirms(peer);
             Thread publishing = new Thread(() -> {
                 try {
                     for (int i = 0; i < 2000; i++) {
-                        peer.send(new Frame.Content(1, Method.of(MethodId.BASIC_PUBLISH, 0, AmqpWorld.EXCHANGE, "order.7", true,
+                        peer.send(new Frame.Content(1, Method.of(MethodId.BASIC_PUBLISH, 0, AmqpFixture.EXCHANGE, "order.7", true,
                                 false), order("p" + i), new byte[100]));
                     }
                 } catch (IOException e) {
@@ -251,7 +252,8 @@
             Thread acks = new Thread(() -> {
                 try {
                     for (int i = 0; i < 2000; i++) {
-                        consumer.send(1, MethodId.BASIC_ACK, consumer.await(MethodId.BASIC_DELIVER).number("delivery-tag"), false);
+                        consumer.send(1, MethodId.BASIC_ACK, consumer.await(MethodId.BASIC_DELIVER).number("delivery-tag"),
+                                false);
                     }
                 } catch (IOException e) {
                     throw new IllegalStateException(e);
@@ -331,7 +333,7 @@
         List<RawPeer> peers = new ArrayList<>();
         for (int i = 0; i < 70; i++) {
             RawPeer peer = new RawPeer(world.address());
-            peer.login("desk", AmqpWorld.PASSWORD);
+            peer.login("desk", AmqpFixture.PASSWORD);
             peers.add(peer);
         }
         for (RawPeer peer : peers) {
--- a/src/test/java/slipfield/daemon/AmqpRestartTest.java
+++ b/src/test/java/slipfield/daemon/AmqpRestartTest.java
@@ -38,9 +38,9 @@
     private volatile boolean acknowledges;
 
     private Connection consumer(int port) throws Exception {
-        Connection connection = AmqpWorld.factory("broker", port).newConnection();
+        Connection connection = AmqpFixture.factory("broker", port).newConnection();
         Channel channel = connection.createChannel();
-        channel.basicConsume(AmqpWorld.QUEUE, false, "c", new DefaultConsumer(channel) {
+        channel.basicConsume(AmqpFixture.QUEUE, false, "c", new DefaultConsumer(channel) {
             @Override
             public void handleDelivery(String tag, Envelope envelope, AMQP.BasicProperties properties, byte[] body)
                     throws IOException {
@@ -61,7 +61,7 @@
         Channel channel = connection.createChannel();
         channel.confirmSelect();
         for (int i = 0; i < MANY; i++) {
-            channel.basicPublish(AmqpWorld.EXCHANGE, kind + ".7", true, new AMQP.BasicProperties.Builder()
+            channel.basicPublish(AmqpFixture.EXCHANGE, kind + ".7", true, new AMQP.BasicProperties.Builder()
                     .messageId(kind + i).correlationId(kind + i).build(), new byte[10]);
         }
         return channel;
@@ -72,10 +72,10 @@
         int port = TrialWorld.freeAddress().getPort();
         try (TrialWorld world = new TrialWorld(folder, new TrialWorld.Size(1, 1e6, 0, 20_000, 4000, 500));
                 SenderProcess sender = new SenderProcess(folder, List.of(), SenderProcess.SMALL)) {
-            Files.writeString(folder.resolve("amqp.yaml"), AmqpWorld.file("127.0.0.1:" + port, "limits: {prefetch: 500}\n"));
+            Files.writeString(folder.resolve("amqp.yaml"), AmqpFixture.file("127.0.0.1:" + port, "limits: {prefetch: 500}\n"));
             sender.start();
             Stub.await("AMQP listens", () -> consumerIsIn(port));
-            Connection first = AmqpWorld.factory("desk", port).newConnection();
+            Connection first = AmqpFixture.factory("desk", port).newConnection();
             Channel keyed = publish(first, TrialWorld.KEYED);
             Channel once = publish(first, TrialWorld.ONCE);
             Stub.await("all are out", () -> runs.size() == 2 * MANY);
@@ -84,7 +84,7 @@
             acknowledges = true;
             sender.start();
             Stub.await("AMQP listens again", () -> consumerIsIn(port));
-            Connection second = AmqpWorld.factory("desk", port).newConnection();
+            Connection second = AmqpFixture.factory("desk", port).newConnection();
             List<String> back = new CopyOnWriteArrayList<>();
             Channel keyedAgain = publish(second, TrialWorld.KEYED);
             keyedAgain.addReturnListener(r -> back.add(r.getProperties().getHeaders().get("x-slipfield-end") + " "
@@ -97,7 +97,7 @@
             onceAgain.confirmSelect();
             onceAgain.addReturnListener(r -> back.add(r.getProperties().getHeaders().get("x-slipfield-end").toString()));
             for (int i = 0; i < MANY; i++) {
-                onceAgain.basicPublish(AmqpWorld.EXCHANGE, "once.7", true, new AMQP.BasicProperties.Builder()
+                onceAgain.basicPublish(AmqpFixture.EXCHANGE, "once.7", true, new AMQP.BasicProperties.Builder()
                         .messageId(TrialWorld.ONCE + i).build(), new byte[10]);
             }
             onceAgain.waitForConfirms(TimeUnit.SECONDS.toMillis(30));
--- a/src/test/java/slipfield/daemon/AmqpTest.java
+++ b/src/test/java/slipfield/daemon/AmqpTest.java
@@ -49,7 +49,7 @@
 
     @TempDir
     private Path folder;
-    private AmqpWorld world;
+    private AmqpFixture world;
     private final List<Connection> connections = new ArrayList<>();
     /** What publishers heard, in its order. */
     private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
@@ -91,7 +91,7 @@
     private BlockingQueue<Seen> consumer(Channel channel, String tag, int prefetch) throws IOException {
         BlockingQueue<Seen> seen = new LinkedBlockingQueue<>();
         channel.basicQos(prefetch);
-        channel.basicConsume(AmqpWorld.QUEUE, false, tag, new DefaultConsumer(channel) {
+        channel.basicConsume(AmqpFixture.QUEUE, false, tag, new DefaultConsumer(channel) {
             @Override
             public void handleDelivery(String consumerTag, Envelope envelope, AMQP.BasicProperties properties, byte[] body) {
                 seen.add(new Seen(channel, envelope, properties, new String(body, StandardCharsets.UTF_8)));
@@ -105,7 +105,7 @@
     }
 
     private static void publish(Channel channel, String key, String id) throws IOException {
-        channel.basicPublish(AmqpWorld.EXCHANGE, key, true, order(id), ("body of " + id).getBytes(StandardCharsets.UTF_8));
+        channel.basicPublish(AmqpFixture.EXCHANGE, key, true, order(id), ("body of " + id).getBytes(StandardCharsets.UTF_8));
     }
 
     private String view() {
@@ -129,7 +129,7 @@
 
     @Test
     void aConfirmIsNotSentBeforeTheConsumersAck() throws Exception {
-        world = new AmqpWorld(folder).start();
+        world = new AmqpFixture(folder).start();
         BlockingQueue<Seen> seen = consumer(channel("broker"), "c", 10);
         Channel publisher = publisher();
         publish(publisher, "order.7", "m1");
@@ -154,7 +154,7 @@
 
     @Test
     void aVenueOverHttpIsDeliveredToAsWell() throws Exception {
-        world = new AmqpWorld(folder).start();
+        world = new AmqpFixture(folder).start();
         Channel publisher = publisher();
         for (int i = 1; i <= 50; i++) {
             publish(publisher, "order.1", "h" + i);
@@ -165,7 +165,7 @@
 
     @Test
     void whatWasRejectedIsGivenBackBeforeItsNack() throws Exception {
-        world = new AmqpWorld(folder).start();
+        world = new AmqpFixture(folder).start();
         BlockingQueue<Seen> seen = consumer(channel("broker"), "c", 10);
         Channel publisher = publisher();
         publish(publisher, "once.7", "m1");
@@ -182,7 +182,7 @@
 
     @Test
     void whatIsGivenBackUnseenGoesElsewhereOnce() throws Exception {
-        world = new AmqpWorld(folder).start();
+        world = new AmqpFixture(folder).start();
         BlockingQueue<Seen> seen = consumer(channel("broker"), "c1", 1);
         Channel publisher = publisher();
         publish(publisher, "once.7", "m1");
@@ -196,16 +196,16 @@
 
     @Test
     void whatCannotBeTakenSaysWhyAndIsHarmlessToPublishAgain() throws Exception {
-        world = new AmqpWorld(folder).start();
+        world = new AmqpFixture(folder).start();
         Channel publisher = publisher();
         publish(publisher, "order.99", "m1");
         publish(publisher, "elsewhere", "m2");
-        publisher.basicPublish(AmqpWorld.EXCHANGE, "order.1", new AMQP.BasicProperties.Builder().messageId("m3").build(),
+        publisher.basicPublish(AmqpFixture.EXCHANGE, "order.1", new AMQP.BasicProperties.Builder().messageId("m3").build(),
                 new byte[0]);
-        publisher.basicPublish(AmqpWorld.EXCHANGE, "order.1", order("m4").builder().expiration("soon").build(), new byte[0]);
-        publisher.basicPublish(AmqpWorld.EXCHANGE, "order.1", order("m5").builder().headers(Map.of("tenant", "other")).build(),
+        publisher.basicPublish(AmqpFixture.EXCHANGE, "order.1", order("m4").builder().expiration("soon").build(), new byte[0]);
+        publisher.basicPublish(AmqpFixture.EXCHANGE, "order.1", order("m5").builder().headers(Map.of("tenant", "other")).build(),
                 new byte[0]);
-        publisher.basicPublish(AmqpWorld.EXCHANGE, "order.1", order("m6").builder().userId("broker").build(), new byte[0]);
+        publisher.basicPublish(AmqpFixture.EXCHANGE, "order.1", order("m6").builder().userId("broker").build(), new byte[0]);
         List<String> all = new ArrayList<>();
         for (int i = 1; i <= 12; i++) {
             all.add(next());
@@ -221,7 +221,7 @@
     private void acknowledging(String tag, int prefetch) throws Exception {
         Channel channel = channel("broker");
         channel.basicQos(prefetch);
-        channel.basicConsume(AmqpWorld.QUEUE, false, tag, new DefaultConsumer(channel) {
+        channel.basicConsume(AmqpFixture.QUEUE, false, tag, new DefaultConsumer(channel) {
             @Override
             public void handleDelivery(String consumerTag, Envelope envelope, AMQP.BasicProperties properties, byte[] body)
                     throws IOException {
@@ -232,7 +232,7 @@
 
     @Test
     void aConsumerThatStopsAcknowledgingIsCutOffWhileOthersGoOn() throws Exception {
-        world = new AmqpWorld(folder, "limits: {ack_within: 2s}\n").start();
+        world = new AmqpFixture(folder, "limits: {ack_within: 2s}\n").start();
         Channel silent = channel("broker");
         BlockingQueue<Seen> kept = consumer(silent, "silent", 5);
         acknowledging("good", 50);
@@ -259,7 +259,7 @@
     /** What a closed channel had out may have run: one that must not run twice is given up, a keyed one goes elsewhere. */
     @Test
     void aChannelClosedBetweenDeliveryAndAckMayHaveRun() throws Exception {
-        world = new AmqpWorld(folder).start();
+        world = new AmqpFixture(folder).start();
         Channel publisher = publisher();
         BlockingQueue<Seen> seen = consumer(channel("broker"), "c", 10);
         publish(publisher, "once.7", "m1");
@@ -278,11 +278,11 @@
 
     @Test
     void aConsumerOfALowerPriorityStandsBy() throws Exception {
-        world = new AmqpWorld(folder).start();
+        world = new AmqpFixture(folder).start();
         BlockingQueue<Seen> low = consumer(channel("broker"), "low", 10);
         Channel high = channel("broker");
         BlockingQueue<Seen> first = new LinkedBlockingQueue<>();
-        high.basicConsume(AmqpWorld.QUEUE, false, "high", false, false, Map.of("x-priority", 3), new DefaultConsumer(high) {
+        high.basicConsume(AmqpFixture.QUEUE, false, "high", false, false, Map.of("x-priority", 3), new DefaultConsumer(high) {
             @Override
             public void handleDelivery(String tag, Envelope envelope, AMQP.BasicProperties properties, byte[] body)
                     throws IOException {
@@ -306,7 +306,7 @@
 
     @Test
     void whatIsNotAcknowledgedInItsTimeMayHaveRun() throws Exception {
-        world = new AmqpWorld(folder, "", 2000).start();
+        world = new AmqpFixture(folder, "", 2000).start();
         BlockingQueue<Seen> seen = consumer(channel("broker"), "silent", 10);
         Channel publisher = publisher();
         publish(publisher, "once.7", "m1");
@@ -318,7 +318,7 @@
 
     @Test
     void anIdThatComesOverHttpAndAmqpAtOnceIsOneMessage() throws Exception {
-        world = new AmqpWorld(folder).start();
+        world = new AmqpFixture(folder).start();
         BlockingQueue<Seen> seen = consumer(channel("broker"), "c", 10);
         Channel publisher = publisher();
         for (int i = 1; i <= 20; i++) {
@@ -350,7 +350,7 @@
     /** What is out has its end before the connections of both sides are closed with 320. */
     @Test
     void aDrainEndsWhatIsOutBeforeItClosesConnections() throws Exception {
-        world = new AmqpWorld(folder).start();
+        world = new AmqpFixture(folder).start();
         BlockingQueue<Seen> seen = consumer(channel("broker"), "c", 10);
         Channel publisher = publisher();
         publish(publisher, "once.7", "m1");
@@ -373,10 +373,10 @@
     @Test
     void aCertificateNamesItsUser() throws Exception {
         Certificates certificates = new Certificates(folder);
-        world = new AmqpWorld(folder, "tls: {listen: \"127.0.0.1:0\", certificate: server.pem, key: server.key, "
+        world = new AmqpFixture(folder, "tls: {listen: \"127.0.0.1:0\", certificate: server.pem, key: server.key, "
                 + "clients: ca.pem}\n").start();
         int port = world.daemon.amqpAddresses().get(1).getPort();
-        ConnectionFactory factory = AmqpWorld.factory("nobody", port);
+        ConnectionFactory factory = AmqpFixture.factory("nobody", port);
         factory.setSaslConfig(DefaultSaslConfig.EXTERNAL);
         factory.useSslProtocol(certificates.client("desk"));
         Connection connection = factory.newConnection();
@@ -387,18 +387,18 @@
         assertTrue(channel.waitForConfirms(TimeUnit.SECONDS.toMillis(SOON_S)));
         factory.useSslProtocol(certificates.client("stranger"));
         assertThrows(IOException.class, factory::newConnection);
-        ConnectionFactory plain = AmqpWorld.factory("desk", port);
+        ConnectionFactory plain = AmqpFixture.factory("desk", port);
         plain.useSslProtocol(certificates.client("stranger"));
         connections.add(plain.newConnection());
-        ConnectionFactory open = AmqpWorld.factory("desk", world.address().getPort());
+        ConnectionFactory open = AmqpFixture.factory("desk", world.address().getPort());
         open.setSaslConfig(DefaultSaslConfig.EXTERNAL);
         assertThrows(IOException.class, open::newConnection, "no certificate, no name");
     }
 
     @Test
     void otherMechanismsAndHostsAreAsTheFileSays() throws Exception {
-        world = new AmqpWorld(folder, "virtual_hosts: [/, desks]\n").start();
-        ConnectionFactory factory = AmqpWorld.factory("desk", world.address().getPort());
+        world = new AmqpFixture(folder, "virtual_hosts: [/, desks]\n").start();
+        ConnectionFactory factory = AmqpFixture.factory("desk", world.address().getPort());
         factory.setVirtualHost("desks");
         factory.setSaslConfig(mechanisms -> new SaslMechanism() {
             @Override
@@ -418,7 +418,7 @@
         connections.add(factory.newConnection());
         factory.setPassword("wrong");
         assertThrows(AuthenticationFailureException.class, factory::newConnection);
-        ConnectionFactory elsewhere = AmqpWorld.factory("desk", world.address().getPort());
+        ConnectionFactory elsewhere = AmqpFixture.factory("desk", world.address().getPort());
         elsewhere.setVirtualHost("nowhere");
         IOException refused = assertThrows(IOException.class, elsewhere::newConnection);
         assertTrue(refused.getCause().getMessage().contains("530"), refused.getCause().getMessage());
@@ -435,7 +435,7 @@
     /** Who has too much unsettled hears so, and is read again when it is settled. */
     @Test
     void aPublisherHearsThatItIsPaused() throws Exception {
-        world = new AmqpWorld(folder, "limits: {unsettled_each: 10}\n").start();
+        world = new AmqpFixture(folder, "limits: {unsettled_each: 10}\n").start();
         BlockingQueue<Seen> seen = consumer(channel("broker"), "c", 50);
         Channel publisher = publisher();
         BlockingQueue<String> blocks = new LinkedBlockingQueue<>();
@@ -455,7 +455,7 @@
     /** Where the operator allows it: delivered in silence, and what is not comes back all the same. */
     @Test
     void withoutConfirmsOnlyWhatIsNotDeliveredIsTold() throws Exception {
-        world = new AmqpWorld(folder, "unconfirmed: true\n").start();
+        world = new AmqpFixture(folder, "unconfirmed: true\n").start();
         Channel publisher = channel("desk");
         publisher.addReturnListener(back -> heard.add(back.getReplyCode() + " " + back.getProperties().getMessageId()));
         publish(publisher, "order.1", "m1");
--- a/src/test/java/slipfield/daemon/StarvedTest.java
+++ b/src/test/java/slipfield/daemon/CpuStarvationTest.java
@@ -20,7 +20,7 @@
 
 /** Senders as processes that get too little time, or none: every order taken has its end all the same, and none runs twice. */
 @Timeout(400)
-class StarvedTest {
+class CpuStarvationTest {
     private static final long GIVE_UP_MS = 3000;
     private static final long ENDS_MS = 60_000;
     private static final double EACH_PER_SECOND = 20;
--- a/src/test/java/slipfield/daemon/MembersTest.java
+++ b/src/test/java/slipfield/daemon/MembersTest.java
@@ -313,8 +313,9 @@
         assertTrue(loaded.contains("slipfield.directory.Discovery "));
         for (String part : List.of("slipfield.membership.", "slipfield.directory.consul.", "slipfield.directory.merged.",
                 "slipfield.settings.", "org.snakeyaml.", "slipfield.outcome.ends.", "slipfield.client.", "slipfield.amqp.",
-                "slipfield.front.amqp.", "slipfield.transport.amqp.", "slipfield.daemon.AmqpParts", "slipfield.daemon.Ways",
-                "slipfield.daemon.Background", "slipfield.state.", "slipfield.work.")) {
+                "slipfield.front.amqp.", "slipfield.transport.amqp.", "slipfield.daemon.AmqpComponents",
+                "slipfield.daemon.RoutingTransport",
+                "slipfield.daemon.BackgroundWork", "slipfield.state.", "slipfield.work.")) {
             assertFalse(loaded.contains(part), part);
         }
     }
--- a/src/test/java/slipfield/daemon/RawPeer.java
+++ b/src/test/java/slipfield/daemon/RawPeer.java
@@ -36,7 +36,7 @@
     /** Opens a connection for this user, with channel 1. */
     static RawPeer open(InetSocketAddress address, String user, int heartbeatSeconds) throws IOException {
         RawPeer peer = new RawPeer(address);
-        peer.login(user, AmqpWorld.PASSWORD);
+        peer.login(user, AmqpFixture.PASSWORD);
         peer.await(MethodId.CONNECTION_TUNE);
         peer.send(0, MethodId.CONNECTION_TUNE_OK, 0, (long) FRAME_MAX, heartbeatSeconds);
         peer.send(0, MethodId.CONNECTION_OPEN, "/", "", false);
--- a/src/test/java/slipfield/daemon/SenderTest.java
+++ b/src/test/java/slipfield/daemon/SenderTest.java
@@ -145,7 +145,7 @@
     }
 
     private void start(long closingMs) throws Exception {
-        sender = new Daemon(config(), Daemon.TAKING_MS, closingMs, ProcessClock.system());
+        sender = new Daemon(config(), Daemon.ACCEPTING_MS, closingMs, ProcessClock.system());
         address = sender.start();
     }
 
@@ -995,7 +995,7 @@
         long called = calls().stream().mapToLong(Stub.Message::atNanos).min().orElseThrow();
         assertTrue(told < called, "the first notice is out before the first call");
         // Ends by 256 a turn, the rest by 64.
-        Stub.await("all is back", () -> sender.recoveryTurns() == 8 + 47);
+        Stub.await("all is back", () -> sender.recoveryBatches() == 8 + 47);
         Set<String> refs = new HashSet<>();
         for (String notice : List.copyOf(notices)) {
             assertTrue(refs.add(notice), "told twice: " + notice);
@@ -1140,7 +1140,7 @@
             journal.recordAttempt(late, new PendingMessage.Attempt("s-0", wall));
             journal.recordAccepted(order(journal, "order", wall + 24_000));
         }
-        sender = new Daemon(config(), Daemon.TAKING_MS, Daemon.CLOSING_MS,
+        sender = new Daemon(config(), Daemon.ACCEPTING_MS, Daemon.CLOSING_MS,
                 new ProcessClock(wall - 300_000 + 25_000, 26_000, 9));
         address = sender.start();
         Stub.await("both ends", () -> notices.size() == 2);
