--- a/src/main/java/slipfield/client/Client.java
+++ b/src/main/java/slipfield/client/Client.java
@@ -37,12 +37,13 @@
 import slipfield.client.decide.SubmissionReply;
 
 /**
- * Hands orders in at senders. Each submitted order has one end, told once, within its time (and where ends are followed the
- * grace of {@link slipfield.client.decide.Rules}). May be used from any thread; one event loop does all its work.
+ * Submits orders to senders. Each submitted order gets exactly one final answer, within its time limit; if the client follows
+ * final answers, within the limit plus {@code graceMs} of {@link slipfield.client.decide.Rules}. Thread-safe; all work is done
+ * on one event loop.
  */
 public final class Client implements AutoCloseable {
     private static final long IDLE_CHECK_MS = 250;
-    /** A sender that does not say whether it is ready in this time is not. */
+    /** Timeout of the readiness check; a sender that has not answered by then is not ready. */
     private static final long READY_TIMEOUT_MS = 1000;
     private static final long SHUTDOWN_S = 5;
 
@@ -51,14 +52,14 @@
     private final EventLoopGroup ownGroup;
     private final EventLoop loop;
     private final Bootstrap bootstrap;
-    /** Monotonic nanoseconds, as {@link System#nanoTime} tells them. */
+    /** Monotonic time in nanoseconds, such as {@link System#nanoTime}. */
     private final LongSupplier nanoClock;
     private final long startNanos;
     private final AtomicBoolean closing = new AtomicBoolean();
     private final OrderTracker tracker;
     private final Map<String, Submission> byKey = new ConcurrentHashMap<>();
     private final FinalAnswerPoller poller;
-    /** What follows is the loop's alone. */
+    /** Orders without a final answer, by number. This and the following fields are used on the event loop only. */
     private final Map<Long, OpenOrder> orders = new HashMap<>();
     private final Map<Submission, Long> numbers = new HashMap<>();
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
@@ -70,7 +71,7 @@
     private long timerMs = Long.MAX_VALUE;
     private boolean closed;
 
-    /** An order that has no end yet, and the connection that its hand-in is out on. */
+    /** An order and the connection on which its submission is in flight, or null. */
     private static final class OpenOrder {
         private final Submission submission;
         private SenderConnection connection;
@@ -81,30 +82,30 @@
         }
     }
 
-    /** Told of a client's connections, on its loop; a desk may count them. */
+    /** Receives events of a client's connections, on its event loop, for statistics for example. */
     public interface Observer {
-        /** One stands, and its sender is ready. */
+        /** A connection was opened, and its sender is ready. */
         default void connected(String sender) {
         }
 
-        /** One was lost, or never came up. */
+        /** A connection was lost, or could not be opened. */
         default void lost(String sender, String why) {
         }
     }
 
-    /** A client with a thread of its own. */
+    /** A client with a separate thread. */
     public Client(ClientSettings settings) {
         this(settings, System::nanoTime);
     }
 
-    /** The same with a clock of the caller's own. */
+    /** The same with this clock, for tests. */
     Client(ClientSettings settings, LongSupplier nanoClock) {
         this(settings, new Observer() {
         }, new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("slipfield-client", true),
                 NioIoHandler.newFactory()), true, nanoClock);
     }
 
-    /** One of several on the same threads, which it does not end. */
+    /** A client on the threads of this group, which may be shared; closing the client does not shut the group down. */
     public Client(ClientSettings settings, EventLoopGroup group, Observer observer) {
         this(settings, observer, group, false, System::nanoTime);
     }
@@ -122,7 +123,7 @@
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        // A connection adds its handlers once it stands.
+                        // A connection adds its handlers when it is open.
                     }
                 });
         this.tracker = new OrderTracker(settings.rules(), new SplittableRandom(settings.seed()), 0, new TrackerActions());
@@ -137,8 +138,8 @@
     }
 
     /**
-     * Takes an order over. One whose key is that of an order without an end is that order: the same submission is returned.
-     * Never blocks, and never throws for what senders do.
+     * Submits an order. If an order with the same key has no final answer yet, its submission is returned instead. Never blocks,
+     * and never throws because of a sender.
      */
     public Submission submit(Order order) {
         Submission created = new Submission(order, this::cancel);
@@ -191,13 +192,13 @@
         connection.connect(bootstrap.clone().remoteAddress(addresses.get(connection.sender)));
     }
 
-    /** The end of a hand-in, as a sender tells it. */
+    /** A sender has reported the final answer of a submission. */
     private void onFinalAnswer(long number, int attempt, End end) {
         tracker.onFinalAnswer(now(), number, attempt, end);
         rescheduleTimer();
     }
 
-    /** One timer, for the next thing that falls due. */
+    /** Sets the one timer to the next time at which the tracker has something to do. */
     private void rescheduleTimer() {
         long next = tracker.nextTickMs();
         if (timer != null && next >= timerMs && !timer.isDone()) {
@@ -218,7 +219,10 @@
         }
     }
 
-    /** Connections that stood long are closed before the sender does: a hand-in that crosses its close may have run. */
+    /**
+     * Closes connections that are idle for long, before the sender does: an order that is submitted while the sender closes the
+     * connection may have run.
+     */
     private void closeIdleConnections() {
         long now = now();
         idle.forEach((sender, connections) -> {
@@ -235,7 +239,7 @@
         idle.computeIfAbsent(connection.sender, s -> new ArrayDeque<>()).addFirst(connection);
     }
 
-    /** What the tracker decides is done here. */
+    /** Carries out the decisions of the tracker. */
     private final class TrackerActions implements OrderTracker.Actions {
         @Override
         public void send(long number, int attempt, String sender, long budgetMs, OrderTracker.PreviousSubmission again) {
@@ -244,7 +248,8 @@
             open.attempt = attempt;
             open.connection = connection;
             if (connection == null || !connection.isIdle()) {
-                // It closed in this moment; at once, or its owner would take it for one that never came up.
+                // The sender has just closed it. It is closed here too, or its listener would report a failed connect. The reply is
+                // reported from a separate task, since the tracker must not be called before this method returns.
                 if (connection != null) {
                     connection.close();
                 }
@@ -309,9 +314,11 @@
         return request;
     }
 
-    /** The side of a connection that hands orders in. */
+    /** Handles a connection on which orders are submitted. */
     private final class SubmissionHandler implements SenderConnection.Listener {
+        /** Whether the sender must still be asked if it is ready. */
         private boolean probe;
+        /** The number of the order whose submission is in flight, or null. */
         private Long inFlight;
 
         private SubmissionHandler(boolean probe) {
@@ -380,7 +387,7 @@
         private void settle(long number, OpenOrder order, SubmissionReply reply, boolean keepAlive, boolean announced) {
             order.connection = null;
             if (numbers.get(order.submission) == null) {
-                // Its end was told before its answer came.
+                // The order got its final answer before the reply came.
                 orders.remove(number);
             }
             tracker.onReply(now(), number, order.attempt, reply, keepAlive, announced);
@@ -388,12 +395,12 @@
         }
     }
 
-    /** Orders that have no end yet. */
+    /** The number of orders without a final answer. */
     public int open() {
         return byKey.size();
     }
 
-    /** Ends each order that has no end yet, told with whether it may have run, and lets go of all connections. */
+    /** Ends each order without a final answer with one that says whether it may have run, and closes all connections. */
     @Override
     public void close() {
         if (!closing.compareAndSet(false, true)) {
--- a/src/main/java/slipfield/client/ClientSettings.java
+++ b/src/main/java/slipfield/client/ClientSettings.java
@@ -5,24 +5,27 @@
 import slipfield.client.decide.Rules;
 
 /**
- * How a client behaves.
+ * The settings of a client.
  *
- * @param name tells it from other clients, and is the same after a restart, where ends are followed; else of no matter
- * @param senders where its senders are
- * @param classes what may be done again with the orders of each class; one of a class that is not named is not repeated
- * @param rules the figures of its decisions
- * @param connectMs a connect that takes longer has failed
- * @param keepMs a connection that stood idle so long is closed; under the senders' 2,500 ms, or hand-ins cross their close
- * @param seed of what is drawn by chance
+ * @param name identifies the client to senders if it follows final answers: then it must be unique and the same after a
+ *     restart. Otherwise it is not used
+ * @param senders the source of sender addresses
+ * @param classes which repeated submissions are allowed, by message class; orders of a class that is missing are not repeated
+ * @param rules the parameters of the client's decisions
+ * @param connectMs connect timeout, in ms
+ * @param keepMs idle time after which a connection is closed, in ms. It must be less than the 2,500 ms after which senders
+ *     close idle connections; otherwise a submission may be sent while its connection is being closed
+ * @param seed seed of the random generator
  */
 public record ClientSettings(String name, Senders senders, Map<String, ClassRule> classes, Rules rules, int connectMs,
         long keepMs, long seed) {
-    private static final int CONNECT_MS = 1000;
-    private static final long KEEP_MS = 2000;
+    private static final int DEFAULT_CONNECT_MS = 1000;
+    private static final long DEFAULT_KEEP_MS = 2000;
 
-    /** The usual settings, with a seed of the moment. */
+    /** Settings with the default timeouts and a seed that is taken from the clock and the name. */
     public ClientSettings(String name, Senders senders, Map<String, ClassRule> classes, Rules rules) {
-        this(name, senders, classes, rules, CONNECT_MS, KEEP_MS, System.nanoTime() ^ (long) name.hashCode() << 32);
+        this(name, senders, classes, rules, DEFAULT_CONNECT_MS, DEFAULT_KEEP_MS,
+                System.nanoTime() ^ (long) name.hashCode() << 32);
     }
 
     ClassRule rule(String messageClass) {
--- a/src/main/java/slipfield/client/ConsulSenders.java
+++ b/src/main/java/slipfield/client/ConsulSenders.java
@@ -20,14 +20,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Senders that are registered in Consul, by its health API with blocking queries (Consul's HTTP API, "Blocking Queries"):
- * those whose checks pass or warn and that are not draining. An agent that fails is followed by the next; the last list
- * stands meanwhile, and an empty one is told as what it is, which a client takes for not knowing.
+ * Senders that are registered in Consul, from its health API with blocking queries (Consul's HTTP API, "Blocking Queries"):
+ * those of which no check is critical and that are not tagged as draining. If an agent fails, the next one is queried; the
+ * last list stays in force meanwhile. An empty list is passed on; clients take it as unknown and keep their last list.
  */
 public final class ConsulSenders implements Senders {
     private static final Logger LOG = LoggerFactory.getLogger(ConsulSenders.class);
+    /** How long an agent may hold a blocking query open. */
     private static final long WAIT_S = 5;
-    /** Consul adds up to a sixteenth to a wait. */
+    /** Consul adds up to a sixteenth to the wait time of a blocking query. */
     private static final Duration TIMEOUT = Duration.ofMillis(WAIT_S * 1000 + 1000);
     private static final long RETRY_DELAY_MS = 300;
 
@@ -40,7 +41,7 @@
     private int agentIndex;
     private long index;
 
-    /** Senders that are registered as this service, of the first of these agents that answers. */
+    /** Senders that are registered as this service. The agents are tried in turn until one answers. */
     public ConsulSenders(List<InetSocketAddress> agents, String service) {
         this.agents = List.copyOf(agents);
         this.service = URLEncoder.encode(service, StandardCharsets.UTF_8);
@@ -51,32 +52,32 @@
         InetSocketAddress agent = agents.get(agentIndex % agents.size());
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + agent.getHostString() + ":" + agent.getPort()
                 + "/v1/health/service/" + service + "?index=" + index + "&wait=" + WAIT_S + "s")).timeout(TIMEOUT).build();
-        http.sendAsync(request, HttpResponse.BodyHandlers.ofString(StandardCharsets.UTF_8)).whenComplete((answer, fault) -> {
+        http.sendAsync(request, HttpResponse.BodyHandlers.ofString(StandardCharsets.UTF_8)).whenComplete((response, fault) -> {
             if (closed) {
                 return;
             }
             try {
-                if (fault != null || answer.statusCode() != 200) {
-                    throw new IllegalStateException(fault != null ? fault.toString() : "status " + answer.statusCode());
+                if (fault != null || response.statusCode() != 200) {
+                    throw new IllegalStateException(fault != null ? fault.toString() : "status " + response.statusCode());
                 }
-                long next = answer.headers().firstValueAsLong("X-Consul-Index").orElse(0);
+                long next = response.headers().firstValueAsLong("X-Consul-Index").orElse(0);
                 if (next != index || next == 0) {
-                    List<InetSocketAddress> list = read(answer.body());
-                    // An index that goes back begins anew (Consul's documentation of blocking queries).
+                    List<InetSocketAddress> senders = read(response.body());
+                    // An index that decreases must be reset to 0 (Consul's documentation of blocking queries).
                     index = next < index ? 0 : next;
-                    listener.accept(list);
+                    listener.accept(senders);
                 }
-                restart(listener, next == 0 ? RETRY_DELAY_MS : 0);
+                queryAgain(listener, next == 0 ? RETRY_DELAY_MS : 0);
             } catch (IllegalStateException | JsonProcessingException e) {
                 LOG.warn("senders.unreadable agent={} cause={}", agent, e.getMessage());
                 agentIndex++;
                 index = 0;
-                restart(listener, RETRY_DELAY_MS);
+                queryAgain(listener, RETRY_DELAY_MS);
             }
         });
     }
 
-    private void restart(Consumer<List<InetSocketAddress>> listener, long afterMs) {
+    private void queryAgain(Consumer<List<InetSocketAddress>> listener, long afterMs) {
         CompletableFuture.delayedExecutor(afterMs, TimeUnit.MILLISECONDS).execute(() -> {
             if (!closed) {
                 start(listener);
@@ -87,7 +88,7 @@
     private List<InetSocketAddress> read(String body) throws JsonProcessingException {
         JsonNode entries = json.readTree(body);
         if (!entries.isArray()) {
-            throw new IllegalStateException("no list of instances");
+            throw new IllegalStateException("the response is not a list of instances");
         }
         List<InetSocketAddress> senders = new ArrayList<>();
         for (JsonNode entry : entries) {
@@ -99,13 +100,13 @@
                 available &= !tag.asText().equals("draining");
             }
             String host = entry.path("Service").path("Address").asText();
-            String at = (host.isEmpty() ? entry.path("Node").path("Address").asText() : host) + ":"
+            String address = (host.isEmpty() ? entry.path("Node").path("Address").asText() : host) + ":"
                     + entry.path("Service").path("Port").asInt();
             if (available) {
                 try {
-                    senders.add(SenderFile.address("", at));
-                } catch (IllegalArgumentException noAddress) {
-                    LOG.warn("senders.left_out cause={}", noAddress.getMessage());
+                    senders.add(SenderFile.address("", address));
+                } catch (IllegalArgumentException badAddress) {
+                    LOG.warn("senders.left_out cause={}", badAddress.getMessage());
                 }
             }
         }
--- a/src/main/java/slipfield/client/FinalAnswerPoller.java
+++ b/src/main/java/slipfield/client/FinalAnswerPoller.java
@@ -16,22 +16,24 @@
 import slipfield.client.decide.End;
 
 /**
- * Follows the ends of orders that senders have taken: a long poll at each, whose cursor says what was heard. What was not
- * heard is told again, also by a sender's next life; an end that is told twice does no harm. (docs/operate/client.md)
+ * Fetches the final answers of accepted orders by a long poll at each sender. The cursor of a poll acknowledges the answers
+ * before it; a sender repeats the others, also after its restart. A duplicate answer is harmless. (docs/operate/client.md)
  */
 final class FinalAnswerPoller implements SenderConnection.Listener {
-    /** On a hand-in: who follows its end. */
+    /** Header of a submission: the name of the client that will fetch the final answer. */
     static final String CLIENT_HEADER = "X-Ends-To";
     private static final Logger LOG = LoggerFactory.getLogger(FinalAnswerPoller.class);
+    /** How long a sender may hold a poll open. */
     private static final long POLL_WAIT_MS = 5000;
     private static final long RESPONSE_TIMEOUT_MS = POLL_WAIT_MS + 3000;
     private static final long RECONNECT_DELAY_MS = 50;
 
-    /** Told of an order's end. */
+    /** Receives the final answers of orders. */
     interface AnswerListener {
         void answered(long number, int attempt, End end);
     }
 
+    /** A submission whose final answer is expected. */
     private record ExpectedAnswer(long number, int attempt) {
     }
 
@@ -40,8 +42,9 @@
     private final Consumer<SenderConnection> connect;
     private final AnswerListener listener;
     private final JsonMapper json = JsonMapper.builder().build();
+    /** By call id. */
     private final Map<String, ExpectedAnswer> expected = new HashMap<>();
-    /** The hand-ins of each order, to forget them by. */
+    /** The submissions of each order, by order number and call id. */
     private final Map<Long, Map<String, ExpectedAnswer>> callsByOrder = new HashMap<>();
     private final Map<String, SenderConnection> connections = new HashMap<>();
     private final Map<String, String> cursors = new HashMap<>();
@@ -54,14 +57,14 @@
         this.listener = listener;
     }
 
-    /** A hand-in under this call id is about to go out. */
+    /** A submission with this call id is about to be sent. */
     void expect(String call, long number, int attempt) {
-        ExpectedAnswer one = new ExpectedAnswer(number, attempt);
-        expected.put(call, one);
-        callsByOrder.computeIfAbsent(number, n -> new HashMap<>()).put(call, one);
+        ExpectedAnswer answer = new ExpectedAnswer(number, attempt);
+        expected.put(call, answer);
+        callsByOrder.computeIfAbsent(number, n -> new HashMap<>()).put(call, answer);
     }
 
-    /** The order has its end. */
+    /** The order has its final answer: answers to its submissions are ignored from now on. */
     void forget(long number) {
         Map<String, ExpectedAnswer> answers = callsByOrder.remove(number);
         if (answers != null) {
@@ -69,7 +72,7 @@
         }
     }
 
-    /** The sender answers: it is followed from now on, if it is not yet. */
+    /** Starts to poll this sender unless it is polled already. */
     void startPolling(String sender) {
         if (!closed && !connections.containsKey(sender)) {
             SenderConnection connection = new SenderConnection(sender, this);
@@ -93,7 +96,7 @@
         if (response.status().code() == 200) {
             for (String line : response.content().toString(StandardCharsets.UTF_8).split("\n")) {
                 if (!line.isEmpty() && !handleLine(connection.sender, line)) {
-                    // What lies behind it is asked for again.
+                    // The next poll requests the lines after the last good one again.
                     break;
                 }
             }
@@ -125,8 +128,9 @@
             switch (end.path("end").asText()) {
                 case "delivered" -> listener.answered(answer.number, answer.attempt, new End.Delivered());
                 case "refused" -> listener.answered(answer.number, answer.attempt,
-                        new End.Refused(Math.max(0, end.path("wait_ms").asLong()), "the sender gave it back"));
-                case "failed" -> listener.answered(answer.number, answer.attempt, new End.Failed(true, "the sender gave it up"));
+                        new End.Refused(Math.max(0, end.path("wait_ms").asLong()), "refused by the sender after acceptance"));
+                case "failed" -> listener.answered(answer.number, answer.attempt,
+                        new End.Failed(true, "the sender reported that delivery failed"));
                 default -> LOG.warn("ends.unknown sender={} end={}", sender, end.path("end"));
             }
         }
--- a/src/main/java/slipfield/client/Order.java
+++ b/src/main/java/slipfield/client/Order.java
@@ -6,57 +6,58 @@
 import java.util.Objects;
 
 /**
- * An order as a desk hands it over.
+ * An order to be submitted.
  *
- * @param messageClass its class, as senders know it; printable ASCII without {@code /}
- * @param tenant who hands it in
- * @param destination its destination's number, 0 or more
- * @param key what tells it from all others: the same order submitted twice is one order, and venues drop repeats by it
- * @param body at most 64 KiB
- * @param within its time, from its submission on; over 0
+ * @param messageClass its message class, as the senders' settings name it; printable ASCII without {@code /} and {@code ?}
+ * @param tenant the tenant that submits it
+ * @param destination the number of its destination, 0 or more
+ * @param key identifies the order: a second submission with the same key is the same order, and venues drop duplicates by it
+ * @param body the content, at most 64 KiB
+ * @param within its time limit, counted from the submission; 1 ms or more
  */
 public record Order(String messageClass, String tenant, long destination, String key, byte[] body, Duration within) {
-    /** What a sender reads of a body at most, in bytes. */
+    /** The largest body that a sender accepts, in bytes. */
     public static final int LONGEST_BODY = 64 * 1024;
-    private static final int LONGEST_NAME = 256;
+    private static final int MAX_NAME_LENGTH = 256;
     private static final SecureRandom RANDOM = new SecureRandom();
 
-    /** Checks it; an {@link IllegalArgumentException} names what is wrong. */
+    /** Throws {@link IllegalArgumentException}, naming the field, for a value out of range. */
     public Order {
-        name("messageClass", messageClass);
-        name("tenant", tenant);
-        name("key", key);
+        checkHeaderValue("messageClass", messageClass);
+        checkHeaderValue("tenant", tenant);
+        checkHeaderValue("key", key);
         if (messageClass.contains("/") || messageClass.contains("?")) {
-            throw new IllegalArgumentException("messageClass holds no '/' or '?': " + messageClass);
+            throw new IllegalArgumentException("messageClass must not contain '/' or '?': " + messageClass);
         }
         if (destination < 0) {
-            throw new IllegalArgumentException("destination is 0 or more, not " + destination);
+            throw new IllegalArgumentException("destination must be 0 or more, not " + destination);
         }
         if (Objects.requireNonNull(body, "body").length > LONGEST_BODY) {
-            throw new IllegalArgumentException("body is at most " + LONGEST_BODY + " bytes, not " + body.length);
+            throw new IllegalArgumentException("body must be at most " + LONGEST_BODY + " bytes, not " + body.length);
         }
         if (within.isNegative() || within.toMillis() < 1) {
-            throw new IllegalArgumentException("within is 1 ms or more, not " + within);
+            throw new IllegalArgumentException("within must be 1 ms or more, not " + within);
         }
     }
 
-    /** One with a key of its own making. */
+    /** An order with a generated key. */
     public Order(String messageClass, String tenant, long destination, byte[] body, Duration within) {
         this(messageClass, tenant, destination, newKey(), body, within);
     }
 
-    /** A key that no other order has: 128 random bits in hexadecimal. */
+    /** Generates a unique key: 128 random bits in hexadecimal. */
     public static String newKey() {
         byte[] bits = new byte[16];
         RANDOM.nextBytes(bits);
         return HexFormat.of().formatHex(bits);
     }
 
-    /** It goes into a header: what breaks a line there would be another header. */
-    private static void name(String field, String value) {
-        if (value == null || value.isEmpty() || value.length() > LONGEST_NAME
+    /** Checks a value that is sent in an HTTP header, where a line break would start another header. */
+    private static void checkHeaderValue(String field, String value) {
+        if (value == null || value.isEmpty() || value.length() > MAX_NAME_LENGTH
                 || !value.chars().allMatch(c -> c > ' ' && c < 127)) {
-            throw new IllegalArgumentException(field + " is 1 to " + LONGEST_NAME + " printable characters without spaces");
+            throw new IllegalArgumentException(
+                    field + " must be 1 to " + MAX_NAME_LENGTH + " printable ASCII characters without spaces");
         }
     }
 }
--- a/src/main/java/slipfield/client/SenderConnection.java
+++ b/src/main/java/slipfield/client/SenderConnection.java
@@ -17,23 +17,23 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.concurrent.TimeUnit;
 
-/** One connection to a sender, with one request at a time; it tells its owner what becomes of each. */
+/** A connection to a sender, with at most one request in flight; it reports the result of each to its listener. */
 final class SenderConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
     private static final int MAX_RESPONSE_BYTES = 64 * 1024;
-    private static final String NOT_HTTP = "an answer that can't be read";
+    private static final String NOT_HTTP = "a response that is not valid HTTP";
 
-    /** Who is told, on the loop's thread. Once {@link #closed} was told nothing else is. */
+    /** Receives the events of a connection, on the event loop. No event follows {@link #closed}. */
     interface Listener {
-        /** It stands. */
+        /** The connection is open. */
         void opened(SenderConnection connection);
 
-        /** The answer to the request that was out; {@code keepAlive}: another may follow. */
+        /** The response to the request in flight; {@code keepAlive}: the connection can take another request. */
         void responded(SenderConnection connection, FullHttpResponse response, boolean keepAlive);
 
         /**
-         * It is gone, or never came up.
+         * The connection was closed, or could not be opened.
          *
-         * @param written whether the last byte of a request that was out may have been sent
+         * @param written whether the request in flight, if any, was written completely
          */
         void closed(SenderConnection connection, boolean written, String reason);
     }
@@ -44,9 +44,9 @@
     private boolean awaitingResponse;
     private boolean written;
     private boolean closed;
-    /** Requests by {@link #get} so far. */
+    /** Number of requests sent by {@link #get} so far. */
     private int requestCount;
-    /** Since when it can take a request. */
+    /** Since when the connection has been idle, in ms of the client's clock. */
     long idleSinceMs;
 
     SenderConnection(String sender, Listener listener) {
@@ -58,10 +58,10 @@
         return listener;
     }
 
-    /** Connects by this bootstrap, whose remote address is the sender's. */
+    /** Connects to the remote address of this bootstrap. */
     void connect(Bootstrap bootstrap) {
         ChannelFuture connecting = bootstrap.connect();
-        // On the loop in any case: where no socket can be opened the future completes on a thread of Netty's own.
+        // Always handled on the event loop: if no socket can be opened, the future completes on another thread of Netty.
         connecting.addListener(done -> bootstrap.config().group().next().execute(() -> connected(connecting)));
     }
 
@@ -79,11 +79,12 @@
         }
     }
 
-    /** Whether it can take a request. */
+    /** Whether a request can be sent now. */
     boolean isIdle() {
         return channel != null && channel.isActive() && !awaitingResponse && !closed;
     }
 
+    /** Sends a request; only if {@link #isIdle}. */
     void send(FullHttpRequest request) {
         awaitingResponse = true;
         written = false;
@@ -91,13 +92,13 @@
         channel.writeAndFlush(request).addListener(f -> written |= f.isSuccess());
     }
 
-    /** Asks for a path; the answer must be whole within so many ms, or the link is gone. */
+    /** Sends a GET request. Without a complete response within {@code timeoutMs} milliseconds the connection is closed. */
     void get(String path, long timeoutMs) {
         send(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path, Unpooled.EMPTY_BUFFER));
         int requestNumber = ++requestCount;
         channel.eventLoop().schedule(() -> {
             if (awaitingResponse && requestCount == requestNumber) {
-                fail("no answer to " + path);
+                fail("no response in time to GET " + path);
             }
         }, timeoutMs, TimeUnit.MILLISECONDS);
     }
@@ -115,7 +116,7 @@
             return;
         }
         if (!awaitingResponse) {
-            fail("an answer to nothing");
+            fail("a response without a request");
             return;
         }
         awaitingResponse = false;
@@ -136,6 +137,7 @@
         fail(cause.toString());
     }
 
+    /** Closes the connection and reports it. */
     private void fail(String reason) {
         if (!closed) {
             boolean requestWritten = awaitingResponse && written;
@@ -144,7 +146,7 @@
         }
     }
 
-    /** Closes it; its owner is told nothing more. */
+    /** Closes the connection without a further event to the listener. */
     void close() {
         closed = true;
         if (channel != null) {
--- a/src/main/java/slipfield/client/SenderFile.java
+++ b/src/main/java/slipfield/client/SenderFile.java
@@ -20,46 +20,46 @@
 import org.snakeyaml.engine.v2.exceptions.YamlEngineException;
 
 /**
- * Senders from a YAML file with one list, {@code senders: [127.0.0.1:7070, ...]}. It is looked at once a second; one that
- * can't be read, or names none, leaves the last list standing.
+ * Senders from a YAML file with one list, {@code senders: [127.0.0.1:7070, ...]}. The file is checked for changes once a
+ * second. While it can't be read or its list is empty, the last list stays in force.
  */
 public final class SenderFile implements Senders {
     private static final Logger LOG = LoggerFactory.getLogger(SenderFile.class);
     private static final long CHECK_MS = 1000;
 
     private final Path path;
-    private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor(run -> {
-        Thread daemon = new Thread(run, "slipfield-senders");
+    private final ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor(task -> {
+        Thread daemon = new Thread(task, "slipfield-senders");
         daemon.setDaemon(true);
         return daemon;
     });
-    private String last = "";
+    private String lastText = "";
 
-    /** Of this file. */
+    /** Senders from this file. */
     public SenderFile(Path path) {
         this.path = path;
     }
 
     @Override
     public void start(Consumer<List<InetSocketAddress>> listener) {
-        thread.scheduleWithFixedDelay(() -> reload(listener), 0, CHECK_MS, TimeUnit.MILLISECONDS);
+        executor.scheduleWithFixedDelay(() -> reload(listener), 0, CHECK_MS, TimeUnit.MILLISECONDS);
     }
 
     private void reload(Consumer<List<InetSocketAddress>> listener) {
         String text;
         try {
             text = Files.readString(path, StandardCharsets.UTF_8);
-            if (text.equals(last)) {
+            if (text.equals(lastText)) {
                 return;
             }
-            last = text;
+            lastText = text;
             listener.accept(read(path, text));
         } catch (IOException | IllegalArgumentException e) {
             LOG.warn("senders.unreadable cause={}", e.toString());
         }
     }
 
-    /** The file's list; an {@link IllegalArgumentException} names the file and the mend. */
+    /** Parses the list; throws {@link IllegalArgumentException} that names the file and how to correct it. */
     static List<InetSocketAddress> read(Path path, String text) {
         Object root;
         try {
@@ -68,7 +68,7 @@
             throw new IllegalArgumentException(path + ": " + e.getMessage(), e);
         }
         if (!(root instanceof Map<?, ?> map) || !(map.get("senders") instanceof List<?> list) || map.size() > 1) {
-            throw new IllegalArgumentException(path + ": has one list; write `senders: [127.0.0.1:7070]`");
+            throw new IllegalArgumentException(path + ": must contain exactly one list; write `senders: [127.0.0.1:7070]`");
         }
         List<InetSocketAddress> senders = new ArrayList<>();
         for (Object item : list) {
@@ -77,22 +77,22 @@
         return senders;
     }
 
-    /** An address as {@code 127.0.0.1:7070}; no names, as senders are known by addresses. */
+    /** Parses an address such as {@code 127.0.0.1:7070}. Host names are not allowed: senders are identified by their address. */
     static InetSocketAddress address(String place, String text) {
-        int cut = text.lastIndexOf(':');
+        int colon = text.lastIndexOf(':');
         try {
-            if (cut > 0 && text.substring(0, cut).matches("[0-9.]+|\\[[0-9a-fA-F:.]+]")) {
-                return new InetSocketAddress(InetAddress.getByName(text.substring(0, cut)),
-                        Integer.parseInt(text.substring(cut + 1)));
+            if (colon > 0 && text.substring(0, colon).matches("[0-9.]+|\\[[0-9a-fA-F:.]+]")) {
+                return new InetSocketAddress(InetAddress.getByName(text.substring(0, colon)),
+                        Integer.parseInt(text.substring(colon + 1)));
             }
         } catch (IOException | IllegalArgumentException e) {
-            // Told below.
+            // Reported below.
         }
         throw new IllegalArgumentException(place + "not an address with a port: '" + text + "'; write it as 127.0.0.1:7070");
     }
 
     @Override
     public void close() {
-        thread.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- a/src/main/java/slipfield/client/Senders.java
+++ b/src/main/java/slipfield/client/Senders.java
@@ -4,16 +4,19 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Where a client's senders are. */
+/** A source of the addresses of senders. */
 public interface Senders extends AutoCloseable {
-    /** Begins to tell whole lists, on any thread, until closed. A list that is empty tells nothing. */
+    /**
+     * Starts to pass complete lists to the listener, on any thread, until closed. An empty list means that the senders are not
+     * known.
+     */
     void start(Consumer<List<InetSocketAddress>> listener);
 
     @Override
     default void close() {
     }
 
-    /** These, for good. */
+    /** A source with a fixed list. */
     static Senders of(List<InetSocketAddress> addresses) {
         List<InetSocketAddress> all = List.copyOf(addresses);
         return listener -> listener.accept(all);
--- a/src/main/java/slipfield/client/Submission.java
+++ b/src/main/java/slipfield/client/Submission.java
@@ -7,7 +7,7 @@
 import java.util.function.Function;
 import slipfield.client.decide.End;
 
-/** An order that was submitted. Its end comes once, and never as an exception. */
+/** A submitted order. It gets exactly one final answer, which is never an exception. */
 public final class Submission {
     private final Order order;
     private final CompletableFuture<End> end = new CompletableFuture<>();
@@ -18,31 +18,34 @@
         this.cancel = cancel;
     }
 
-    /** The order. */
+    /** The order that was submitted. */
     public Order order() {
         return order;
     }
 
-    /** Its one final answer; completing or cancelling this copy changes nothing. */
+    /** The future final answer. Each call returns a copy, so completing or cancelling it affects neither order nor client. */
     public CompletableFuture<End> end() {
         return end.copy();
     }
 
-    /** Calls it off; true: no sender will be asked for it again, though one may be about to answer that it has it. */
+    /**
+     * Cancels the order. The result is true if it is not submitted to any sender again; a submission in flight may still be
+     * accepted. It is false if it was too late.
+     */
     public CompletableFuture<Boolean> cancel() {
         return cancel.apply(this);
     }
 
     /**
-     * Waits for the end.
+     * Waits for the final answer.
      *
-     * @throws TimeoutException after so many ms: the order is as it was
+     * @throws TimeoutException if there is none after {@code timeoutMs} milliseconds; the order goes on
      */
     public End await(long timeoutMs) throws InterruptedException, TimeoutException {
         try {
             return end.get(timeoutMs, TimeUnit.MILLISECONDS);
         } catch (ExecutionException e) {
-            throw new IllegalStateException("an end is never an exception", e);
+            throw new IllegalStateException("a final answer must not be an exception", e);
         }
     }
 
--- a/src/main/java/slipfield/client/SubmissionReplyParser.java
+++ b/src/main/java/slipfield/client/SubmissionReplyParser.java
@@ -8,28 +8,29 @@
 import java.util.Locale;
 import slipfield.client.decide.SubmissionReply;
 
-/** What a sender's answer to a hand-in proves (PROTOCOL, "Clients to senders"). */
+/** Determines what a sender's HTTP response to a submission says about the order (PROTOCOL, "Clients to senders"). */
 final class SubmissionReplyParser {
-    /** What a refusal's wait holds for: documented in docs/operate/client.md. */
+    /** Response header: what the requested delay of a refusal applies to (docs/operate/client.md). */
     static final String SCOPE_HEADER = "X-Wait-Scope";
-    /** Over what time, in ms, a sender's clients are to connect anew. */
+    /** Response header: the window, in ms, over which the clients of a sender shall reconnect. */
     static final String RECONNECT_WINDOW_HEADER = "X-Reconnect-Within-Ms";
-    /** A wait is believed up to this: some 30 years, in ms. */
+    /** Upper bound of a requested delay, in ms: about 30 years. */
     private static final double MAX_RETRY_AFTER_MS = 1e12;
     private static final int MAX_REASON_LENGTH = 200;
 
     private SubmissionReplyParser() {
     }
 
-    static SubmissionReply parse(FullHttpResponse answer, long wallMs) {
-        int status = answer.status().code();
-        String reason = answer.content().toString(StandardCharsets.UTF_8).lines().findFirst().orElse("");
+    /** The reply that this response means; {@code wallMs}: the current wall-clock time, for a {@code Retry-After} date. */
+    static SubmissionReply parse(FullHttpResponse response, long wallMs) {
+        int status = response.status().code();
+        String reason = response.content().toString(StandardCharsets.UTF_8).lines().findFirst().orElse("");
         String why = status + (reason.isBlank() ? "" : " " + reason.substring(0, Math.min(MAX_REASON_LENGTH, reason.length())));
         return switch (status) {
             case 200, 202 -> SubmissionReply.accepted();
-            case 429, 503 -> SubmissionReply.refused(retryAfterMs(answer.headers().get(HttpHeaderNames.RETRY_AFTER), wallMs),
-                    scope(answer.headers().get(SCOPE_HEADER, "")), why);
-            // Not whole in time: it was not read, and may come again.
+            case 429, 503 -> SubmissionReply.refused(retryAfterMs(response.headers().get(HttpHeaderNames.RETRY_AFTER), wallMs),
+                    scope(response.headers().get(SCOPE_HEADER, "")), why);
+            // The request did not arrive completely in time: the sender did not read it, and it may be submitted again.
             case 408 -> SubmissionReply.unsent(why);
             case 400, 404, 405, 413, 431 -> SubmissionReply.rejected(why);
             default -> SubmissionReply.lost(why);
@@ -37,8 +38,8 @@
     }
 
     /**
-     * A {@code Retry-After} in ms: seconds, whole or decimal, or a date (RFC 9110, 10.2.3). What is neither, negative or
-     * in the past tells nothing: 0.
+     * The delay, in ms, of a {@code Retry-After} header: a number of seconds, also a decimal one, or a date (RFC 9110, 10.2.3).
+     * 0 if it is missing, malformed, negative or in the past.
      */
     static long retryAfterMs(String value, long wallMs) {
         if (value == null) {
@@ -54,7 +55,7 @@
         }
     }
 
-    /** An unnamed one is the sender's: it is asked for nothing more, and others may be. */
+    /** The scope of this name. A missing or unknown name means the sender: other senders may still be used. */
     private static SubmissionReply.Scope scope(String name) {
         return switch (name.toLowerCase(Locale.ROOT)) {
             case "destination" -> SubmissionReply.Scope.DESTINATION;
@@ -63,9 +64,9 @@
         };
     }
 
-    /** A told window in ms, or -1. */
-    static long reconnectWindowMs(FullHttpResponse answer) {
-        String value = answer.headers().get(RECONNECT_WINDOW_HEADER, "");
+    /** The reported reconnect window in ms, or -1 if there is none. */
+    static long reconnectWindowMs(FullHttpResponse response) {
+        String value = response.headers().get(RECONNECT_WINDOW_HEADER, "");
         return value.matches("[0-9]{1,9}") ? Long.parseLong(value) : -1;
     }
 }
--- a/src/main/java/slipfield/daemon/AmqpComponents.java
+++ b/src/main/java/slipfield/daemon/AmqpComponents.java
@@ -24,14 +24,16 @@
 import slipfield.work.Worker;
 import slipfield.transport.amqp.Queues;
 
-/** What AMQP adds to a sender. No class of it is loaded unless the operator's file is named. */
+/** The components that AMQP adds to a sender. Their classes are loaded only if the operator has set a file for AMQP. */
 final class AmqpComponents {
-    /** The outcome's and the directory's name. */
+    /** The name of the answer channel and of the directory. */
     static final String NAME = Publications.NAME;
 
-    /** The file of what stands, in the state folder, written so often. */
+    /** The status file of the AMQP connections, in the state folder. */
     static final String VIEW = "amqp.json";
+    /** Least time between two writes of the file, in ms. */
     private static final long VIEW_MS = 1000;
+    /** Time between two writes per connection, in ms, if that is more than {@link #VIEW_MS}. */
     private static final long VIEW_MS_EACH = 10;
 
     private final AmqpConfig config;
@@ -52,7 +54,7 @@
                 sender.kinds(), sender.zones())), sender.state());
     }
 
-    /** What the file holds. */
+    /** The content of the status file. */
     record View(long writtenMs, List<ConnectionReport> connections) {
     }
 
@@ -60,17 +62,17 @@
         return config.limits().knownIds();
     }
 
-    Transport transport(Transport network, EventLoop loop, Worker worker, Transport.AttemptListener ends) {
+    Transport transport(Transport network, EventLoop loop, Worker worker, Transport.AttemptListener listener) {
         view.setWorker(worker);
         epoch = Long.toHexString(System.currentTimeMillis());
         server = new AmqpServer(loop, config, epoch);
         this.loop = loop;
-        queues = new Queues(loop, config.limits().awayMs(), ends);
+        queues = new Queues(loop, config.limits().awayMs(), listener);
         return new RoutingTransport(network, queues);
     }
 
-    AnswerChannel answerChannel(Consumer<PendingAnswer> heard) {
-        publications = new Publications(server, config.routes(), heard);
+    AnswerChannel answerChannel(Consumer<PendingAnswer> acknowledged) {
+        publications = new Publications(server, config.routes(), acknowledged);
         server.over(publications, queues);
         return publications;
     }
@@ -79,12 +81,12 @@
         return queues;
     }
 
-    /** Connections, channels and what is unsettled; asked on the core's loop. */
+    /** Each connection with its channels and unsettled messages; to be called on the sender's event loop. */
     List<ConnectionReport> report() {
         return server.report();
     }
 
-    /** Each second, and less often where much is to be told: a thousand connections of ten channels are a megabyte. */
+    /** Writes the file each second, less often with many connections: 1000 connections of 10 channels make 1 MB. */
     private void writeView() {
         List<ConnectionReport> now = report();
         long wallMs = System.currentTimeMillis();
@@ -96,8 +98,8 @@
         return publications.addresses();
     }
 
-    Frontend frontend(MessageIntake desk) throws IOException {
-        publications.over(desk, new Brokers(loop, config, epoch, queues, publications));
+    Frontend frontend(MessageIntake messageIntake) throws IOException {
+        publications.over(messageIntake, new Brokers(loop, config, epoch, queues, publications));
         writeView();
         return publications;
     }
--- a/src/main/java/slipfield/daemon/BackgroundWork.java
+++ b/src/main/java/slipfield/daemon/BackgroundWork.java
@@ -8,9 +8,9 @@
 import slipfield.work.Worker;
 import slipfield.work.decide.Scheduler;
 
-/** The sender's background work, and the file that tells people of it. Made only where something needs it. */
+/** The sender's worker for background tasks, and a status file about it for display. Created only if a component needs it. */
 final class BackgroundWork {
-    /** The file of what there is to do, in the state folder. */
+    /** The status file of the background work, in the state folder; written every {@link #VIEW_MS}. */
     static final String VIEW = "work.json";
     private static final Worker.Limits LIMITS = new Worker.Limits(10_000, 0.1, 500);
     private static final long VIEW_MS = 1000;
@@ -18,13 +18,13 @@
     private final Worker worker;
     private final EventLoop loop;
     private final BackgroundJsonFile view;
-    private volatile boolean ended;
+    private volatile boolean closed;
 
-    /** What the file holds. */
+    /** The content of the status file. */
     record View(long writtenMs, double latenessMs, List<Scheduler.Report> kinds) {
     }
 
-    /** On this loop; made there. */
+    /** To be called on this event loop. */
     BackgroundWork(EventLoop loop, Path state) {
         this.loop = loop;
         this.worker = new Worker(loop, LIMITS);
@@ -39,16 +39,16 @@
     }
 
     private void writeView() {
-        if (!ended) {
+        if (!closed) {
             View now = new View(System.currentTimeMillis(), worker.latenessMs(), worker.report());
             view.write(() -> now);
             loop.schedule(this::writeView, VIEW_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Nothing more is begun. */
-    void end() {
-        ended = true;
+    /** Starts no further task, and writes the file no more. */
+    void close() {
+        closed = true;
         worker.close();
     }
 }
--- a/src/main/java/slipfield/daemon/Daemon.java
+++ b/src/main/java/slipfield/daemon/Daemon.java
@@ -36,54 +36,54 @@
 import slipfield.trace.Trace;
 import slipfield.transport.http.Endpoints;
 
-/** A sender with the parts that its configuration names, and the signals that it heeds. */
+/** A sender with the components that its configuration names, and its signal handlers. */
 public final class Daemon implements SenderComponents {
-    /** Descriptors that are neither clients nor calls: the machine's own (30 are seen), the journal, agents. */
+    /** File descriptors for other uses than clients and calls: the JVM's own (30 were observed), the journal, the agents. */
     private static final int OTHER_SOCKETS = 48;
-    /** Share of the rest for clients, who may hold a third of all for requests; the others are for calls. */
+    /** Clients' share of the remaining descriptors; a third of all may be in use for requests. The others are for calls. */
     private static final double CLIENT_SHARE = 0.6;
-    /** From SIGTERM: new connections come for so long at most, in ms. */
+    /** How long after SIGTERM new connections are accepted at most, in ms. */
     static final long ACCEPTING_MS = 450;
-    /** From SIGTERM: calls out may last till here; SIGKILL may come at 3.7 s. */
+    /** How long after SIGTERM calls in flight may last, in ms; SIGKILL may follow after 3.7 s. */
     static final long CLOSING_MS = 3300;
-    /** From SIGTERM: so long its own registration elsewhere may take to be taken back. */
+    /** How long after SIGTERM the removal of the sender's own registration, as in Consul, may take, in ms. */
     private static final long DEREGISTER_MS = 200;
 
     private final Config config;
     private final Sender sender;
-    private final int mostClients;
-    private final int mostIdle;
+    private final int maxClients;
+    private final int maxIdle;
     private InetSocketAddress agentAddress;
     private Endpoints endpoints;
     private PlatformNotices notices;
     private Discovery discovery;
     private Intake intake;
-    /** Absent unless the operator has named a file of sources: no class of them is loaded without. */
+    /** Null unless the operator has set a file of endpoint sources; without it none of their classes are loaded. */
     private Members members;
-    /** Absent unless the operator's file of clients is set. */
+    /** Null unless the operator has set a file of settings for clients. */
     private ClientsConfig clients;
-    private ClientAnswers ends;
-    /** Absent unless the operator's file of AMQP is set: no class of it is loaded without. */
+    private ClientAnswers clientAnswers;
+    /** Null unless the operator has set a file for AMQP; without it none of its classes are loaded. */
     private AmqpComponents amqp;
-    /** Absent unless a part has work that may wait. */
+    /** Null unless a component has background work. */
     private BackgroundWork background;
     private List<InetSocketAddress> addresses = List.of();
 
-    /** As the program runs it. */
+    /** A sender with the usual shutdown times and the system's clock. */
     public Daemon(Config config) {
         this(config, ACCEPTING_MS, CLOSING_MS, ProcessClock.system());
     }
 
-    Daemon(Config config, long acceptingMs, long closingMs, ProcessClock life) {
+    Daemon(Config config, long acceptingMs, long closingMs, ProcessClock clock) {
         this.config = config;
         this.agentAddress = config.discovery();
         int sockets = Math.max(config.sockets() - OTHER_SOCKETS, 64);
-        this.mostClients = (int) (sockets * CLIENT_SHARE);
-        this.mostIdle = Math.max(1, sockets - mostClients - config.settings().slots());
-        this.sender = new Sender(config, this, acceptingMs, closingMs, life);
+        this.maxClients = (int) (sockets * CLIENT_SHARE);
+        this.maxIdle = Math.max(1, sockets - maxClients - config.settings().slots());
+        this.sender = new Sender(config, this, acceptingMs, closingMs, clock);
     }
 
-    /** Runs a sender until it is told to end; returns the exit code. */
+    /** Runs a sender until it is terminated. Returns the exit code: 0, or 1 if it could not start or was interrupted. */
     public static int serve(Map<String, String> env) {
         InternalLoggerFactory.setDefaultFactory(Slf4JLoggerFactory.INSTANCE);
         try {
@@ -101,7 +101,7 @@
         }
     }
 
-    /** Starts it; returns the address that its clients connect to. */
+    /** Starts the sender and returns the address that its HTTP clients connect to. */
     public InetSocketAddress start() throws IOException, BadInput {
         if (config.members().isPresent()) {
             members = Members.read(config.members().get(), config.state());
@@ -120,37 +120,37 @@
         return address;
     }
 
-    /** Where each front listens, HTTP's first. */
+    /** The address of each frontend, that of HTTP first. */
     List<InetSocketAddress> addresses() {
         return addresses;
     }
 
-    /** Where AMQP listens, without TLS first; nowhere while it is off. */
+    /** The addresses of the AMQP listeners, the one without TLS first; empty if AMQP is off. */
     List<InetSocketAddress> amqpAddresses() {
         return amqp == null ? List.of() : amqp.addresses();
     }
 
-    /** What stands at AMQP; nothing where it is off. */
+    /** The state of the AMQP connections; empty if AMQP is off. */
     List<ConnectionReport> amqpConnections() {
         return amqp == null ? List.of() : sender.loop().submit(amqp::report).syncUninterruptibly().getNow();
     }
 
-    /** Ends in order, within the time before SIGKILL. */
+    /** Shuts down gracefully, within the time before SIGKILL. */
     public void drain() {
         if (members != null) {
             members.leaving(DEREGISTER_MS);
         }
         sender.drain();
-        endBackground();
+        closeBackground();
         if (members != null) {
             members.close();
         }
     }
 
-    /** Lets go of everything at once, as the end of the process would. */
+    /** Releases all resources at once, as the end of the process would. */
     public void kill() {
         sender.kill();
-        endBackground();
+        closeBackground();
         if (members != null) {
             members.close();
         }
@@ -165,20 +165,20 @@
     }
 
     /**
-     * Reads the configuration again, on the caller's thread, since a file may be slow. Only discovery's
-     * address is taken over: all else holds for the life of a process. A file that can't be read, or names no
-     * address, leaves the old one standing.
+     * Reads the configuration again, on the caller's thread because reading a file may be slow. Only the address of discovery
+     * is applied; everything else needs a restart. If the file can't be read or contains no address, the address stays as
+     * it is.
      */
     void reload(Map<String, String> env) {
         try {
             InetSocketAddress address = Config.read(env).discovery();
-            sender.loop().execute(() -> moveTo(address));
+            sender.loop().execute(() -> switchAgent(address));
         } catch (BadInput | IOException e) {
             Log.error("config.reload_failed", "cause", e.getMessage());
         }
     }
 
-    private void moveTo(InetSocketAddress address) {
+    private void switchAgent(InetSocketAddress address) {
         Log.info("config.reloaded", "discovery", Config.hostPort(address));
         if (!address.equals(agentAddress)) {
             agentAddress = address;
@@ -187,7 +187,7 @@
         }
     }
 
-    /** Made with the first part that needs it. */
+    /** Creates the background work when it is first needed. */
     private BackgroundWork background(EventLoop loop) {
         if (background == null) {
             background = new BackgroundWork(loop, config.state());
@@ -195,9 +195,9 @@
         return background;
     }
 
-    private void endBackground() {
+    private void closeBackground() {
         if (background != null) {
-            background.end();
+            background.close();
         }
     }
 
@@ -207,24 +207,25 @@
     }
 
     @Override
-    public Transport transport(EventLoop loop, Transport.AttemptListener ends) {
-        endpoints = new Endpoints(loop, config.connectTimeoutMs(), config.settings().keepAliveMs(), mostIdle, ends);
-        return amqp == null ? endpoints : amqp.transport(endpoints, loop, background(loop).worker(), ends);
+    public Transport transport(EventLoop loop, Transport.AttemptListener listener) {
+        endpoints = new Endpoints(loop, config.connectTimeoutMs(), config.settings().keepAliveMs(), maxIdle, listener);
+        return amqp == null ? endpoints : amqp.transport(endpoints, loop, background(loop).worker(), listener);
     }
 
     @Override
-    public Map<String, AnswerChannel> answerChannels(EventLoop loop, Consumer<PendingAnswer> heard) {
-        notices = new PlatformNotices(loop, () -> new Agent(loop, agentAddress), heard);
-        Map<String, AnswerChannel> outcomes = new LinkedHashMap<>();
-        outcomes.put(AnswerRecipient.PLATFORM.channel(), notices);
+    public Map<String, AnswerChannel> answerChannels(EventLoop loop, Consumer<PendingAnswer> acknowledged) {
+        notices = new PlatformNotices(loop, () -> new Agent(loop, agentAddress), acknowledged);
+        Map<String, AnswerChannel> channels = new LinkedHashMap<>();
+        channels.put(AnswerRecipient.PLATFORM.channel(), notices);
         if (clients != null && clients.ends().isPresent()) {
-            ends = new ClientAnswers(loop, clients.ends().get(), Long.toHexString(System.currentTimeMillis()), heard);
-            outcomes.put(ClientAnswers.NAME, ends);
+            clientAnswers = new ClientAnswers(loop, clients.ends().get(), Long.toHexString(System.currentTimeMillis()),
+                    acknowledged);
+            channels.put(ClientAnswers.NAME, clientAnswers);
         }
         if (amqp != null) {
-            outcomes.put(AmqpComponents.NAME, amqp.answerChannel(heard));
+            channels.put(AmqpComponents.NAME, amqp.answerChannel(acknowledged));
         }
-        return outcomes;
+        return channels;
     }
 
     @Override
@@ -245,10 +246,10 @@
     }
 
     @Override
-    public List<Frontend> frontends(EventLoop loop, MessageIntake desk) throws IOException {
-        intake = new Intake(loop, config.listen(), mostClients, desk, clients == null ? Intake.Hints.NONE
-                : new Intake.Hints(clients.reconnectMs(), clients.waitScope(), Optional.ofNullable(ends)));
-        return amqp == null ? List.of(intake) : List.of(intake, amqp.frontend(desk));
+    public List<Frontend> frontends(EventLoop loop, MessageIntake messageIntake) throws IOException {
+        intake = new Intake(loop, config.listen(), maxClients, messageIntake, clients == null ? Intake.Hints.NONE
+                : new Intake.Hints(clients.reconnectMs(), clients.waitScope(), Optional.ofNullable(clientAnswers)));
+        return amqp == null ? List.of(intake) : List.of(intake, amqp.frontend(messageIntake));
     }
 
     @Override
@@ -258,7 +259,7 @@
     }
 
     @Override
-    public void warmUp(EventLoop loop, long mostMs, Runnable then) {
-        new WarmUp(loop, config, mostMs, then).play();
+    public void warmUp(EventLoop loop, long maxMs, Runnable then) {
+        new WarmUp(loop, config, maxMs, then).runSlice();
     }
 }
--- a/src/main/java/slipfield/daemon/RoutingTransport.java
+++ b/src/main/java/slipfield/daemon/RoutingTransport.java
@@ -8,19 +8,19 @@
 import slipfield.policy.DeliveryPolicy;
 import slipfield.transport.amqp.ConsumerAddress;
 
-/** Two transports as one: an endpoint's address says which is its. */
+/** Combines two transports: consumers of AMQP queues are reached by one, all other endpoints by the network transport. */
 final class RoutingTransport implements Transport {
     private final Transport network;
     private final Transport queues;
-    private final Set<Long> consumers = new HashSet<>();
+    private final Set<Long> queueEndpoints = new HashSet<>();
 
     RoutingTransport(Transport network, Transport queues) {
         this.network = network;
         this.queues = queues;
     }
 
-    private Transport of(long endpoint) {
-        return consumers.contains(endpoint) ? queues : network;
+    private Transport transportOf(long endpoint) {
+        return queueEndpoints.contains(endpoint) ? queues : network;
     }
 
     @Override
@@ -32,30 +32,30 @@
     @Override
     public void updateEndpoint(long endpoint, SocketAddress address, boolean serving) {
         if (address instanceof ConsumerAddress) {
-            consumers.add(endpoint);
+            queueEndpoints.add(endpoint);
         }
-        of(endpoint).updateEndpoint(endpoint, address, serving);
+        transportOf(endpoint).updateEndpoint(endpoint, address, serving);
     }
 
     @Override
     public void stop(long endpoint) {
-        of(endpoint).stop(endpoint);
+        transportOf(endpoint).stop(endpoint);
     }
 
     @Override
     public void forget(long endpoint) {
-        of(endpoint).forget(endpoint);
-        consumers.remove(endpoint);
+        transportOf(endpoint).forget(endpoint);
+        queueEndpoints.remove(endpoint);
     }
 
     @Override
-    public Attempt attempt(PendingMessage held, int number, long endpoint, DeliveryPolicy.AttemptTiming within,
+    public Attempt attempt(PendingMessage message, int number, long endpoint, DeliveryPolicy.AttemptTiming timing,
             long decidedNanos) {
-        return of(endpoint).attempt(held, number, endpoint, within, decidedNanos);
+        return transportOf(endpoint).attempt(message, number, endpoint, timing, decidedNanos);
     }
 
     @Override
     public void closeIdle(long endpoint) {
-        of(endpoint).closeIdle(endpoint);
+        transportOf(endpoint).closeIdle(endpoint);
     }
 }
--- a/src/main/java/slipfield/daemon/SighupHandler.java
+++ b/src/main/java/slipfield/daemon/SighupHandler.java
@@ -6,17 +6,17 @@
 import slipfield.log.Log;
 
 /**
- * SIGHUP, which by default ends a JVM. Java has no supported interface to signals, so the JDK's own one is
- * called by reflection: the compiler warns of any mention of it, and a JVM without it only loses the reload.
+ * Handles SIGHUP, which by default ends a JVM. Java has no supported interface to signals. The JDK's internal one is called
+ * by reflection, since the compiler warns of any direct use of it; on a JVM without it only the reload is unavailable.
  */
 final class SighupHandler {
     private SighupHandler() {
     }
 
-    /** Runs this at each SIGHUP from now on, one at a time and in order, on a thread of its own. */
-    static void handle(Runnable told) {
-        ExecutorService thread = Executors.newSingleThreadExecutor(run -> {
-            Thread daemon = new Thread(run, "reload");
+    /** Runs the action once for each SIGHUP from now on, one after the other, on a separate executor. */
+    static void handle(Runnable action) {
+        ExecutorService executor = Executors.newSingleThreadExecutor(task -> {
+            Thread daemon = new Thread(task, "reload");
             daemon.setDaemon(true);
             return daemon;
         });
@@ -26,17 +26,17 @@
             Object proxy = Proxy.newProxyInstance(SighupHandler.class.getClassLoader(), new Class<?>[] {handler},
                     (self, method, args) -> {
                         if (method.getName().equals("handle")) {
-                            thread.execute(told);
+                            executor.execute(action);
                             return null;
                         }
-                        // The JDK keeps handlers in a table.
+                        // The JDK calls equals and hashCode too, since it keeps handlers in a hash table.
                         return method.getName().equals("equals") ? (Object) (self == args[0]) : handler.hashCode();
                     });
-            Object before = signal.getMethod("handle", signal, handler)
+            Object previous = signal.getMethod("handle", signal, handler)
                     .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), proxy);
-            if (before == handler.getField("SIG_IGN").get(null)) {
-                // As nohup does: the JVM leaves it so, and a new configuration is never read.
-                Log.warn("signal.ignored", "signal", "HUP", "since", "the process was started with it ignored");
+            if (previous == handler.getField("SIG_IGN").get(null)) {
+                // nohup, for example, ignores SIGHUP. The JVM then keeps it ignored, and a new configuration is never read.
+                Log.warn("signal.ignored", "signal", "HUP", "since", "it was already ignored when the process started");
             }
         } catch (ReflectiveOperationException | IllegalArgumentException e) {
             Log.warn("signal.unsupported", "signal", "HUP", "cause", e);
--- a/src/main/java/slipfield/daemon/WarmUp.java
+++ b/src/main/java/slipfield/daemon/WarmUp.java
@@ -14,43 +14,44 @@
 import slipfield.transport.http.Endpoints;
 
 /**
- * Messages that nobody sent, through the client side, a decision module and the calls' side of their own, in memory, before the
- * sender listens. What runs for the first time in a process runs slowly and is compiled after some two hundred
- * calls; that takes about a second of CPU, which is better spent while nobody waits than in the first seconds
- * under load, when requests stand unread and ends come late. Nothing of it reaches a socket, the journal, or the
- * state of the sender. In slices, with the loop free between them, and for a bounded time.
+ * Warms up the JVM before the sender listens: passes artificial messages through a client frontend, a delivery policy and an
+ * HTTP transport of its own, all in memory. Code runs slowly at first and is compiled after about 200 calls. That takes about
+ * 1 s of CPU time; in the first seconds under load it would leave requests unread and delay final answers. Nothing of it
+ * reaches a socket, the journal or the state of the sender. It runs in slices between which the event loop does other work,
+ * and for a limited time.
  */
 public final class WarmUp {
-    /** Calls after which most of the way is compiled. */
+    /** After this number of messages most of the code on their path is compiled. */
     public static final int MESSAGES = 200;
+    /** Messages per slice. */
     private static final int SLICE = 8;
-    private static final byte[] ANSWER = ("HTTP/1.1 200 OK\r\nX-Load-Report: TEXT x0=0.5, x1=20\r\n"
+    private static final byte[] RESPONSE = ("HTTP/1.1 200 OK\r\nX-Load-Report: TEXT x0=0.5, x1=20\r\n"
             + "Content-Length: 2\r\n\r\n{}").getBytes(StandardCharsets.US_ASCII);
 
     private final EventLoop loop;
-    private final long mostNanos;
+    private final long maxNanos;
     private final Runnable then;
-    private final long begun = System.nanoTime();
+    private final long startNanos = System.nanoTime();
     private final DeliveryPolicy.Settings settings;
     private final Intake intake;
     private final Endpoints endpoints;
-    private final PendingMessage held;
-    private final Stage stage = new Stage();
+    private final PendingMessage message;
+    private final Discard discard = new Discard();
     private final DeliveryPolicy policy;
     private final byte[] request;
-    private int played;
+    private int processed;
 
-    /** For so many milliseconds at most; then the sender listens, by {@code then}. */
-    public WarmUp(EventLoop loop, Config config, long mostMs, Runnable then) {
+    /** A warm-up that takes {@code maxMs} milliseconds at most and then runs {@code then}, on the event loop. */
+    public WarmUp(EventLoop loop, Config config, long maxMs, Runnable then) {
         this.loop = loop;
-        this.mostNanos = TimeUnit.MILLISECONDS.toNanos(mostMs);
+        this.maxNanos = TimeUnit.MILLISECONDS.toNanos(maxMs);
         this.then = then;
         this.settings = config.settings();
-        this.intake = new Intake(loop, config.listen(), Integer.MAX_VALUE, stage);
-        this.endpoints = new Endpoints(loop, 1000, 1000, 0, (call, outcome, gone, waitMs, told) -> { });
-        this.held = new PendingMessage(0, "0123456789abcdef", "rehearsal", "", Optional.of("0123456789abcdef"), 1, 0,
+        this.intake = new Intake(loop, config.listen(), Integer.MAX_VALUE, discard);
+        this.endpoints = new Endpoints(loop, 1000, 1000, 0, (attempt, outcome, gone, waitMs, limitReport) -> { });
+        this.message = new PendingMessage(0, "0123456789abcdef", "rehearsal", "", Optional.of("0123456789abcdef"), 1, 0,
                 new byte[2]);
-        this.policy = DeliveryPolicy.create(settings, 0, stage);
+        this.policy = DeliveryPolicy.create(settings, 0, discard);
         String path = config.classes().get(0);
         this.request = ("POST /" + path + " HTTP/1.1\r\nHost: rehearsal\r\nX-Call-Id: 0123456789abcdef\r\n"
                 + "X-Call-Class: " + path + "\r\nX-Caller: x\r\nX-Budget-Ms: 1000\r\n"
@@ -60,38 +61,38 @@
                 new DeliveryPolicy.Endpoint(2, 1, 0, 0, true, 0, false)));
     }
 
-    /** Plays the next slice, and the others after it. */
-    public void play() {
-        if (played >= MESSAGES || System.nanoTime() - begun >= mostNanos) {
+    /** Runs the next slice and schedules the one after it. */
+    public void runSlice() {
+        if (processed >= MESSAGES || System.nanoTime() - startNanos >= maxNanos) {
             then.run();
             return;
         }
         for (int i = 0; i < SLICE; i++) {
-            played++;
+            processed++;
             intake.rehearse(request);
             decide();
-            endpoints.rehearse(held, ANSWER);
+            endpoints.rehearse(message, RESPONSE);
         }
-        loop.schedule(this::play, 0, TimeUnit.MILLISECONDS);
+        loop.schedule(this::runSlice, 0, TimeUnit.MILLISECONDS);
     }
 
     private void decide() {
-        double now = played * 100.0;
-        policy.messageAccepted(now, new DeliveryPolicy.Message(played, 0, 0, Optional.empty(),
+        double now = processed * 100.0;
+        policy.messageAccepted(now, new DeliveryPolicy.Message(processed, 0, 0, Optional.empty(),
                 settings.classes().get(0).deadlineMs(),
                 1));
         policy.endIteration(now);
-        if (stage.sent == played) {
-            policy.attemptEnded(now + 50, new DeliveryPolicy.AttemptEnd(played, 0, DeliveryPolicy.AttemptOutcome.DELIVERED, 50,
+        if (discard.lastSent == processed) {
+            policy.attemptEnded(now + 50, new DeliveryPolicy.AttemptEnd(processed, 0, DeliveryPolicy.AttemptOutcome.DELIVERED, 50,
                     true, 0,
                     DeliveryPolicy.LimitReport.NOTHING));
             policy.endIteration(now + 50);
         }
     }
 
-    /** A desk that takes nothing on, and a module's world in which every send arrives. */
-    private static final class Stage implements MessageIntake, DeliveryPolicy.Actions {
-        private long sent;
+    /** A message intake that refuses all messages, and delivery actions that only record the message sent last. */
+    private static final class Discard implements MessageIntake, DeliveryPolicy.Actions {
+        private long lastSent;
 
         @Override
         public boolean ready() {
@@ -119,12 +120,12 @@
         }
 
         @Override
-        public Optional<DuplicateState> checkDuplicate(String id, AnswerRecipient claim) {
+        public Optional<DuplicateState> checkDuplicate(String id, AnswerRecipient recipient) {
             return Optional.empty();
         }
 
         @Override
-        public void recipientGone(String outcome, String peer) {
+        public void recipientGone(String channel, String peer) {
         }
 
         @Override
@@ -138,12 +139,12 @@
         }
 
         @Override
-        public void acceptanceReported(PendingMessage held, boolean heard) {
+        public void acceptanceReported(PendingMessage message, boolean acknowledged) {
         }
 
         @Override
-        public void send(long message, long endpoint, DeliveryPolicy.AttemptTiming within) {
-            sent = message;
+        public void send(long message, long endpoint, DeliveryPolicy.AttemptTiming timing) {
+            lastSent = message;
         }
 
         @Override
--- a/src/main/java/slipfield/daemon/package-info.java
+++ b/src/main/java/slipfield/daemon/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A sender with its parts: what is built from a configuration, the signals, and the rehearsal before it listens. May
- * use every package but {@code cli}, {@code sim} and {@code standin}.
+ * Assembles a sender from its configuration, handles its signals, and warms up its code before it listens. May use every
+ * package except {@code cli}, {@code sim} and {@code standin}.
  */
 package slipfield.daemon;
