--- a/src/main/java/slipfield/client/Client.java
+++ b/src/main/java/slipfield/client/Client.java
@@ -248,8 +248,8 @@
             open.attempt = attempt;
             open.connection = connection;
             if (connection == null || !connection.isIdle()) {
-                // The sender has just closed it. It is closed here too, or its listener would report a failed connect. The reply is
-                // reported from a separate task, since the tracker must not be called before this method returns.
+                // The sender has just closed it. It is closed here too, or its listener would report a failed connect. The reply
+                // is reported from a separate task, since the tracker must not be called before this method returns.
                 if (connection != null) {
                     connection.close();
                 }
--- a/src/test/java/slipfield/client/ClientTest.java
+++ b/src/test/java/slipfield/client/ClientTest.java
@@ -38,10 +38,10 @@
 import slipfield.standin.TrialWorld;
 import slipfield.standin.Venue;
 
-/** A client and the real sender, as a process that is killed. */
+/** Tests clients against a real sender that runs as a separate process, which some tests kill. */
 class ClientTest {
     private static final long WINDOW_MS = 10_000;
-    private static final long MOST_MS = 60_000;
+    private static final long TIMEOUT_MS = 60_000;
     private static final Map<String, ClassRule> CLASSES = Map.of(TrialWorld.KEYED, ClassRule.keyed(WINDOW_MS),
             TrialWorld.ONCE, ClassRule.unsafe());
 
@@ -85,104 +85,110 @@
         return new Order(messageClass, TrialWorld.TENANT, 1, new byte[] {1, 2}, Duration.ofMillis(withinMs));
     }
 
-    private List<Submission> submit(Client client, int many, long withinMs) {
+    private List<Submission> submit(Client client, int count, long withinMs) {
         List<Submission> all = new ArrayList<>();
-        for (int i = 0; i < many; i++) {
+        for (int i = 0; i < count; i++) {
             all.add(client.submit(order(i % 2 == 0 ? TrialWorld.KEYED : TrialWorld.ONCE, withinMs)));
         }
         return all;
     }
 
-    /** What is told must be what happened at the venues; and nothing ran against its class. */
-    private void trueAndOnce(List<Submission> all) throws Exception {
+    /**
+     * Checks that the final answers agree with the runs recorded at the venues, and that no order ran more often than its class
+     * allows.
+     */
+    private void assertAnswersMatchRuns(List<Submission> all) throws Exception {
         for (Submission s : all) {
-            End end = s.await(MOST_MS);
+            End end = s.await(TIMEOUT_MS);
             List<Long> runs = world.ledger().runs(s.order().key());
             if (end instanceof End.Delivered) {
-                assertFalse(runs.isEmpty(), "told as delivered, and no venue has it");
+                assertFalse(runs.isEmpty(), "reported as delivered, but no venue received it");
             } else if (end instanceof End.Refused || end instanceof End.Failed failed && !failed.mayHaveRun()) {
-                assertTrue(runs.isEmpty(), "told as " + end + ", and a venue has it");
+                assertTrue(runs.isEmpty(), "reported as " + end + ", but a venue received it");
             }
             if (s.order().messageClass().equals(TrialWorld.ONCE)) {
                 assertTrue(runs.size() <= 1, "an unsafe order ran " + runs.size() + " times");
             }
             long first = runs.stream().mapToLong(Long::longValue).min().orElse(0);
             long last = runs.stream().mapToLong(Long::longValue).max().orElse(0);
-            assertTrue(TimeUnit.NANOSECONDS.toMillis(last - first) <= WINDOW_MS, "a key ran again past its window");
+            assertTrue(TimeUnit.NANOSECONDS.toMillis(last - first) <= WINDOW_MS, "a key ran again after its window");
         }
     }
 
     private static long delivered(List<Submission> all) throws Exception {
         long delivered = 0;
         for (Submission s : all) {
-            delivered += s.await(MOST_MS) instanceof End.Delivered ? 1 : 0;
+            delivered += s.await(TIMEOUT_MS) instanceof End.Delivered ? 1 : 0;
         }
         return delivered;
     }
 
     @Test
-    void ordersAreFollowedToTheirEnds() throws Exception {
+    void reportsFinalAnswersOfAcceptedOrders() throws Exception {
         start("ends: {keep: 1m}\n");
         List<Submission> all = submit(client(Rules.DEFAULT.following(true)), 400, 11_000);
-        trueAndOnce(all);
+        assertAnswersMatchRuns(all);
         assertEquals(400, delivered(all));
     }
 
     @Test
-    void anOrderThatVenuesGiveUpIsToldSo() throws Exception {
+    void reportsAnOrderThatNoVenueAnswers() throws Exception {
         start("ends: {}\n");
         world.venues().forEach(v -> v.mood(Venue.Mood.SILENT));
         Client client = client(Rules.DEFAULT.following(true));
-        End end = client.submit(order(TrialWorld.ONCE, 3000)).await(MOST_MS);
+        End end = client.submit(order(TrialWorld.ONCE, 3000)).await(TIMEOUT_MS);
         assertTrue(assertInstanceOf(End.Failed.class, end).mayHaveRun(), end.toString());
     }
 
     @Test
-    void withoutThePartForEndsAnOrderEndsWhenItIsTaken() throws Exception {
+    void endsOrdersAtAcceptanceWithoutFollowing() throws Exception {
         start("wait_scope: true\n");
-        assertInstanceOf(End.Taken.class, client(Rules.DEFAULT).submit(order(TrialWorld.ONCE, 9000)).await(MOST_MS));
+        assertInstanceOf(End.Taken.class, client(Rules.DEFAULT).submit(order(TrialWorld.ONCE, 9000)).await(TIMEOUT_MS));
     }
 
-    /** Its sender is killed three times in a burst: one true end each, none doubled, and those owed are told by the next life. */
+    /**
+     * The sender is killed three times during a burst: each order gets one correct final answer, none runs twice, and answers
+     * pending at a kill are reported after the restart.
+     */
     @Test
-    void aSenderThatIsKilledInABurstLosesAndDoublesNothing() throws Exception {
+    void losesAndDuplicatesNothingWhenTheSenderIsKilledInABurst() throws Exception {
         start("reconnect_within: 300ms\nends: {keep: 1m}\n");
         Client client = client(Rules.DEFAULT.following(true));
         List<Submission> all = new ArrayList<>();
         for (int kill = 0; kill < 3; kill++) {
             all.addAll(submit(client, 300, 11_000));
             int before = all.size();
-            Stub.await("some are taken", () -> client.open() < before);
+            Stub.await("some orders have a final answer", () -> client.open() < before);
             sender.kill();
             all.addAll(submit(client, 100, 11_000));
             sender.start();
         }
-        trueAndOnce(all);
+        assertAnswersMatchRuns(all);
         assertTrue(delivered(all) > 600, "of 1,200 only " + delivered(all) + " were delivered");
     }
 
-    /** A client that is started again under its name hears of its earlier life's ends, and passes them over. */
+    /** Final answers that no client fetches must not delay those of other clients. */
     @Test
-    void endsThatNobodyHearsHoldNothingUp() throws Exception {
+    void servesClientsDespiteAnswersThatNobodyFetches() throws Exception {
         start("ends: {keep: 1s, most: 50}\n");
         Client gone = client("gone", Rules.DEFAULT.following(true), new Client.Observer() {
         });
         submit(gone, 200, 9000);
-        Stub.await("they are out", () -> world.venues().stream().mapToLong(Venue::asked).sum() > 50);
+        Stub.await("venues have received calls", () -> world.venues().stream().mapToLong(Venue::asked).sum() > 50);
         gone.close();
         List<Submission> all = submit(client(Rules.DEFAULT.following(true)), 100, 9000);
-        trueAndOnce(all);
+        assertAnswersMatchRuns(all);
         assertEquals(100, delivered(all));
     }
 
-    /** A thousand clients lose their sender and come back over the window that it told: none is left out, none comes twice. */
+    /** 1000 clients lose their sender and reconnect over the window that it reported: each must succeed in few attempts. */
     @Test
-    void aThousandClientsComeBackAndNoneIsLeftOut() throws Exception {
+    void reconnectsAThousandClients() throws Exception {
         start("reconnect_within: 2s\n");
-        int many = 1000;
-        AtomicIntegerArray connects = new AtomicIntegerArray(many);
-        AtomicIntegerArray refused = new AtomicIntegerArray(many);
-        for (int i = 0; i < many; i++) {
+        int count = 1000;
+        AtomicIntegerArray connects = new AtomicIntegerArray(count);
+        AtomicIntegerArray refused = new AtomicIntegerArray(count);
+        for (int i = 0; i < count; i++) {
             int number = i;
             client("desk-" + i, Rules.DEFAULT.atMost(1, 1), new Client.Observer() {
                 @Override
@@ -196,9 +202,9 @@
                 }
             });
         }
-        awaitAll("all are there", connects, 1);
+        awaitAll("all are connected", connects, 1);
         sender.kill();
-        for (int i = 0; i < many; i++) {
+        for (int i = 0; i < count; i++) {
             connects.set(i, 0);
         }
         List<Submission> all = new ArrayList<>();
@@ -206,17 +212,17 @@
             all.add(client.submit(order(TrialWorld.ONCE, 50_000)));
         }
         sender.start();
-        awaitAll("all are back", connects, 1);
+        awaitAll("all are connected again", connects, 1);
         for (Submission s : all) {
-            // A sender that has just started may be too slow for one: that is told, and it is not handed in again.
-            assertFalse(s.await(MOST_MS) instanceof End.Failed);
+            // A sender that has just started may answer too late. The outcome is then unknown; the order is not submitted again.
+            assertFalse(s.await(TIMEOUT_MS) instanceof End.Failed);
         }
         int tries = 0;
-        for (int i = 0; i < many; i++) {
+        for (int i = 0; i < count; i++) {
             tries += refused.get(i);
         }
-        // While the sender was away each asked about twice a window, and not without a pause.
-        assertTrue(tries < 20 * many, "connects that came to nothing: " + tries);
+        // While the sender was down each client tried about twice per window, with a pause in between.
+        assertTrue(tries < 20 * count, "failed connects: " + tries);
     }
 
     private static void awaitAll(String what, AtomicIntegerArray counts, int least) throws Exception {
@@ -230,13 +236,13 @@
         });
     }
 
-    /** What the pages show compiles, and does what they say. */
+    /** The example in the documentation compiles and gives the documented output. */
     @Test
-    void theExampleCompilesAndRuns() throws Exception {
+    void compilesAndRunsTheExample() throws Exception {
         start("ends: {}\n");
         Path classes = Files.createDirectories(folder.resolve("classes"));
-        assertEquals(0, ToolProvider.getSystemJavaCompiler().run(null, null, null, "-Xlint:all", "-Werror", "-proc:none", "-d", classes.toString(),
-                "-cp", System.getProperty("java.class.path"), "docs/client/SubmitOrders.java"));
+        assertEquals(0, ToolProvider.getSystemJavaCompiler().run(null, null, null, "-Xlint:all", "-Werror", "-proc:none",
+                "-d", classes.toString(), "-cp", System.getProperty("java.class.path"), "docs/client/SubmitOrders.java"));
         try (URLClassLoader loader = new URLClassLoader(new URL[] {classes.toUri().toURL()})) {
             PrintStream before = System.out;
             ByteArrayOutputStream printed = new ByteArrayOutputStream();
@@ -252,7 +258,7 @@
     }
 
     @Test
-    void sendHandsAFileInAndTellsEachEnd() throws Exception {
+    void sendCommandSubmitsAFileAndPrintsEachAnswer() throws Exception {
         start("ends: {}\n");
         Path file = folder.resolve("orders.jsonl");
         String line = "{\"class\":\"order\",\"tenant\":\"desk\",\"destination\":1,\"body\":\"b\",\"key\":\"k%d\"}\n";
--- a/src/test/java/slipfield/client/ConsulSendersTest.java
+++ b/src/test/java/slipfield/client/ConsulSendersTest.java
@@ -14,7 +14,7 @@
 import slipfield.standin.ConsulCluster;
 import slipfield.standin.Stub;
 
-/** Senders from a stand-in Consul with two agents. */
+/** Tests the list of senders from a stand-in for Consul with two agents. */
 class ConsulSendersTest {
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final ConsulCluster cluster = new ConsulCluster();
@@ -31,7 +31,7 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    private void told(List<InetSocketAddress> list) {
+    private void updateList(List<InetSocketAddress> list) {
         last = list.stream().map(a -> Integer.toString(a.getPort())).sorted().collect(Collectors.joining(" "));
     }
 
@@ -40,10 +40,10 @@
     }
 
     @Test
-    void theListFollowsHealthDrainsAndAgentsThatFail() throws Exception {
+    void followsHealthChecksDrainsAndAgentFailures() throws Exception {
         cluster.register("slipfield", "s0", "127.0.0.1", 7000, List.of("sender"), Map.of());
         cluster.register("slipfield", "s1", "127.0.0.1", 7001, List.of("sender"), Map.of());
-        senders.start(this::told);
+        senders.start(this::updateList);
         await("7000 7001");
         cluster.check("service:s0", "critical");
         await("7001");
--- a/src/test/java/slipfield/daemon/AmqpBrokersTest.java
+++ b/src/test/java/slipfield/daemon/AmqpBrokersTest.java
@@ -22,30 +22,30 @@
 import slipfield.standin.TrialWorld;
 import slipfield.standin.Venue;
 
-/** The sender as a client of a broker elsewhere, which is a second sender with a front and queues, as a process of its own. */
+/** Tests a sender as an AMQP client of a remote broker; the broker is a second sender in a separate process. */
 @Timeout(150)
 class AmqpBrokersTest {
-    private static final long SOON_MS = 40_000;
+    private static final long TIMEOUT_MS = 40_000;
 
     @TempDir
     private Path folder;
     private final List<Connection> connections = new ArrayList<>();
     private int port;
-    private TrialWorld elsewhere;
+    private TrialWorld remote;
     private SenderProcess broker;
-    private AmqpFixture here;
+    private AmqpFixture local;
 
     @BeforeEach
     void open() throws Exception {
         port = TrialWorld.freeAddress().getPort();
         Path there = Files.createDirectory(folder.resolve("there"));
-        elsewhere = new TrialWorld(there, new TrialWorld.Size(1, 1e6, 0, 24_000, 4000, 256));
+        remote = new TrialWorld(there, new TrialWorld.Size(1, 1e6, 0, 24_000, 4000, 256));
         Files.writeString(there.resolve("amqp.yaml"), AmqpFixture.file("127.0.0.1:" + port, ""));
         broker = new SenderProcess(there, List.of(), SenderProcess.SMALL);
         broker.start();
         Path own = Files.createDirectory(folder.resolve("here"));
         Files.writeString(own.resolve("secret"), AmqpFixture.PASSWORD + "\n");
-        here = new AmqpFixture(own, """
+        local = new AmqpFixture(own, """
                 outbound:
                   - {name: there, address: "127.0.0.1:%d", user: desk, password_file: secret, exchange: orders, key: order.1,
                      destination: 9, kind: m, zone: a}
@@ -61,15 +61,15 @@
                   - name: feed
                     routes: [{key: venue-7, class: order, destination: 1}]
                 """));
-        here.start();
+        local.start();
     }
 
     @AfterEach
     void close() throws Exception {
         connections.forEach(Connection::abort);
-        here.close();
+        local.close();
         broker.close();
-        elsewhere.close();
+        remote.close();
     }
 
     private Channel publisher(int at) throws Exception {
@@ -85,13 +85,13 @@
                 .correlationId("key-" + id).build(), new byte[10]);
     }
 
-    /** The broker has a consumer, the sender here a target: until then publishes are refused as without consumers. */
+    /** Waits until both links are open. Before that, publishes are refused because there is no consumer. */
     private void awaitLinks(Channel there, Channel own) throws Exception {
-        Stub.await("the links stand", () -> {
+        Stub.await("the links are open", () -> {
             try {
                 publish(there, "order.7", "probe" + System.nanoTime());
                 publish(own, "order.9", "probe" + System.nanoTime());
-                return there.waitForConfirms(SOON_MS) & own.waitForConfirms(SOON_MS);
+                return there.waitForConfirms(TIMEOUT_MS) & own.waitForConfirms(TIMEOUT_MS);
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
@@ -99,61 +99,63 @@
     }
 
     @Test
-    void whatABrokerTakesAndGivesIsConfirmedFromEndToEnd() throws Exception {
+    void confirmsMessagesToAndFromABrokerEndToEnd() throws Exception {
         Channel there = publisher(port);
-        Channel own = publisher(here.address().getPort());
+        Channel own = publisher(local.address().getPort());
         awaitLinks(there, own);
         for (int i = 0; i < 300; i++) {
             publish(there, "order.7", "in" + i);
             publish(own, "order.9", "out" + i);
         }
-        assertTrue(there.waitForConfirms(SOON_MS));
-        assertTrue(own.waitForConfirms(SOON_MS));
+        assertTrue(there.waitForConfirms(TIMEOUT_MS));
+        assertTrue(own.waitForConfirms(TIMEOUT_MS));
         for (int i = 0; i < 300; i++) {
-            assertEquals(1, here.world.ledger().runs("key-in" + i).size(), "consumed there, delivered here");
-            assertEquals(1, elsewhere.ledger().runs("key-out" + i).size(), "published there, delivered there");
+            assertEquals(1, local.world.ledger().runs("key-in" + i).size(),
+                    "consumed from the broker, delivered by the local sender");
+            assertEquals(1, remote.ledger().runs("key-out" + i).size(), "published to the broker, delivered by it");
         }
     }
 
     @Test
-    void whatTheBrokerReturnsIsRefusedAndNeverRan() throws Exception {
-        Channel own = publisher(here.address().getPort());
+    void refusesMessagesThatTheBrokerReturns() throws Exception {
+        Channel own = publisher(local.address().getPort());
         awaitLinks(publisher(port), own);
         List<String> back = new CopyOnWriteArrayList<>();
         own.addReturnListener(r -> back.add(r.getProperties().getHeaders().get("x-slipfield-end").toString()));
         own.basicPublish(AmqpFixture.EXCHANGE, "once.8", true, new AMQP.BasicProperties.Builder().messageId("lost")
                 .expiration("3000").build(), new byte[10]);
-        own.waitForConfirms(SOON_MS);
+        own.waitForConfirms(TIMEOUT_MS);
         assertEquals(List.of("refused"), back);
     }
 
-    /** A broker that dies with publishes unconfirmed: keyed ones are published again when it is back, others never. */
+    /** The broker is killed while publishes are unconfirmed: after its restart only keyed messages are published again. */
     @Test
-    void aBrokerThatDiesAndComesBackRunsNothingTwice() throws Exception {
-        Channel own = publisher(here.address().getPort());
+    void runsNothingTwiceWhenTheBrokerIsKilledAndRestarted() throws Exception {
+        Channel own = publisher(local.address().getPort());
         awaitLinks(publisher(port), own);
         List<String> back = new CopyOnWriteArrayList<>();
         own.addReturnListener(r -> back.add(r.getProperties().getMessageId() + " "
                 + r.getProperties().getHeaders().get("x-slipfield-end")));
-        elsewhere.venues().get(0).mood(Venue.Mood.SILENT);
+        remote.venues().get(0).mood(Venue.Mood.SILENT);
         for (int i = 0; i < 20; i++) {
             publish(own, "order.9", "k" + i);
             publish(own, "once.9", "u" + i);
         }
-        Stub.await("some are out there", () -> here.report().stream().anyMatch(c -> c.unconfirmed() == 40));
+        Stub.await("all are published to the broker", () -> local.report().stream().anyMatch(c -> c.unconfirmed() == 40));
         broker.kill();
-        // It comes back with no memory: nothing but this sender's own rule keeps it from running an order again.
+        // It restarts without its journal, so only the rules of the local sender prevent a second run of an order.
         Files.delete(folder.resolve("there").resolve("state").resolve("journal"));
-        elsewhere.venues().get(0).mood(Venue.Mood.UP);
+        remote.venues().get(0).mood(Venue.Mood.UP);
         broker.start();
         own.waitForConfirms(TimeUnit.SECONDS.toMillis(30));
-        assertTrue(back.stream().anyMatch(b -> b.startsWith("u") && b.endsWith(" failed")), "some were out: " + back);
+        assertTrue(back.stream().anyMatch(b -> b.startsWith("u") && b.endsWith(" failed")),
+                "unsafe messages in flight fail: " + back);
         for (int i = 0; i < 20; i++) {
             String key = "key-k" + i;
-            List<Long> runs = elsewhere.ledger().runs(key);
+            List<Long> runs = remote.ledger().runs(key);
             assertTrue(runs.isEmpty() || runs.get(runs.size() - 1) - runs.get(0) <= TimeUnit.MILLISECONDS.toNanos(
                     TrialWorld.WINDOW_MS), () -> key + " ran outside its window");
-            assertTrue(elsewhere.ledger().runs("key-u" + i).size() <= 1, "an unsafe one ran twice");
+            assertTrue(remote.ledger().runs("key-u" + i).size() <= 1, "an unsafe one ran twice");
             assertTrue(!runs.isEmpty() || back.toString().contains("k" + i + " "), () -> key + " was confirmed and never ran");
         }
     }
--- a/src/test/java/slipfield/daemon/AmqpBurstTest.java
+++ b/src/test/java/slipfield/daemon/AmqpBurstTest.java
@@ -32,23 +32,25 @@
 import slipfield.standin.TrialWorld;
 
 /**
- * A burst of 10,000 publishes while channels of publishers and consumers are killed at random. What publishers heard, what
- * consumers ran, and what the journal still holds are held against one another.
+ * A burst of 10,000 publishes while channels of publishers and consumers are closed at random. Compares the final answers that
+ * publishers received, the messages that consumers ran, and the messages left in the journal.
  */
 @Timeout(200)
 class AmqpBurstTest {
     private static final int MESSAGES = 10_000;
     private static final int PUBLISHERS = 4;
     private static final int CONSUMERS = 3;
-    private static final int MOST_OUT = 300;
+    private static final int MAX_IN_FLIGHT = 300;
     private static final int PUBLISHER_KILLS = 20;
-    /** One delivery in so many kills its consumer's channel, before its ack or just behind it. */
+    /** On average one of this many deliveries closes its consumer's channel, before or just after its ack. */
     private static final int KILLING_DELIVERY = 400;
 
-    /** What consumers ran, by id: when, in nanoseconds. */
+    /** When consumers ran each message, in nanoseconds, by id. */
     private final Map<String, List<Long>> runs = new ConcurrentHashMap<>();
     private final List<String> faults = new CopyOnWriteArrayList<>();
-    private final Map<String, String> ends = new ConcurrentHashMap<>();
+    /** The final answers, by id. */
+    private final Map<String, String> finalAnswers = new ConcurrentHashMap<>();
+    /** Ids to be published. */
     private final ConcurrentLinkedQueue<String> todo = new ConcurrentLinkedQueue<>();
     private final AtomicInteger consumerKills = new AtomicInteger();
     private volatile boolean over;
@@ -56,12 +58,12 @@
     @TempDir
     private Path folder;
 
-    private final class Consuming {
+    private final class TestConsumer {
         private final Connection connection;
         private final String tag;
         private final Random random;
 
-        Consuming(Connection connection, int number) throws IOException {
+        TestConsumer(Connection connection, int number) throws IOException {
             this.connection = connection;
             this.tag = "c" + number;
             this.random = new Random(number);
@@ -99,7 +101,7 @@
                                 channel.abort();
                                 open();
                             } catch (IOException | AlreadyClosedException e) {
-                                faults.add("a consumer could not come again: " + e);
+                                faults.add("a consumer could not reopen its channel: " + e);
                             }
                         }).start();
                     }
@@ -108,13 +110,13 @@
         }
     }
 
-    /** One channel at a time; when it is killed, what it had out is published again on the next one. */
-    private final class Publishing implements Runnable {
+    /** Publishes on one channel at a time; after it is closed, unconfirmed messages are published again on the next one. */
+    private final class TestPublisher implements Runnable {
         private final Connection connection;
         private final Random random;
         private int kills = PUBLISHER_KILLS;
 
-        Publishing(Connection connection, int number) {
+        TestPublisher(Connection connection, int number) {
             this.connection = connection;
             this.random = new Random(100 + number);
         }
@@ -123,25 +125,25 @@
         public void run() {
             try {
                 while (!over) {
-                    life();
+                    publishOnOneChannel();
                 }
             } catch (Exception e) {
                 faults.add("publisher: " + e);
             }
         }
 
-        private void life() throws Exception {
+        private void publishOnOneChannel() throws Exception {
             Channel channel = connection.createChannel();
             channel.confirmSelect();
             ConcurrentSkipListMap<Long, String> out = new ConcurrentSkipListMap<>();
             Map<String, String> back = new ConcurrentHashMap<>();
             channel.addReturnListener(r -> back.put(r.getProperties().getMessageId(),
                     r.getProperties().getHeaders().get("x-slipfield-end").toString()));
-            channel.addConfirmListener((tag, multiple) -> ended(out, tag, multiple, true, back),
-                    (tag, multiple) -> ended(out, tag, multiple, false, back));
-            long lives = kills > 0 ? 50 + random.nextInt(100) : Long.MAX_VALUE;
-            for (long i = 0; i < lives && !over; ) {
-                String id = out.size() < MOST_OUT ? todo.poll() : null;
+            channel.addConfirmListener((tag, multiple) -> settled(out, tag, multiple, true, back),
+                    (tag, multiple) -> settled(out, tag, multiple, false, back));
+            long publishes = kills > 0 ? 50 + random.nextInt(100) : Long.MAX_VALUE;
+            for (long i = 0; i < publishes && !over; ) {
+                String id = out.size() < MAX_IN_FLIGHT ? todo.poll() : null;
                 if (id == null) {
                     TimeUnit.MILLISECONDS.sleep(1);
                     if (todo.isEmpty() && kills > 0) {
@@ -162,7 +164,7 @@
             }
         }
 
-        private void ended(ConcurrentSkipListMap<Long, String> out, long tag, boolean multiple, boolean ack,
+        private void settled(ConcurrentSkipListMap<Long, String> out, long tag, boolean multiple, boolean ack,
                 Map<String, String> back) {
             List<Long> tags = new ArrayList<>(multiple ? out.headMap(tag, true).keySet() : List.of(tag));
             for (long each : tags) {
@@ -171,7 +173,7 @@
                     faults.add("settled twice: " + each);
                 } else if (ack) {
                     if (!runs.containsKey(id)) {
-                        faults.add("confirmed before its end: " + id);
+                        faults.add("confirmed before it ran: " + id);
                     }
                     end(id, "delivered");
                 } else if ("refused".equals(back.get(id))) {
@@ -185,7 +187,7 @@
         }
 
         private void end(String id, String end) {
-            String before = ends.put(id, end);
+            String before = finalAnswers.put(id, end);
             if (before != null && !before.equals(end)) {
                 faults.add(id + " was " + before + ", then " + end);
             }
@@ -193,24 +195,24 @@
     }
 
     @Test
-    void channelsAreKilledAndEachMessageIsSettledOnce() throws Exception {
+    void settlesEachMessageOnceWhileChannelsAreClosed() throws Exception {
         List<Connection> connections = new ArrayList<>();
-        try (AmqpFixture world = new AmqpFixture(folder, "limits: {unsettled: 4000, prefetch: 200}\n").start()) {
+        try (AmqpFixture fixture = new AmqpFixture(folder, "limits: {unsettled: 4000, prefetch: 200}\n").start()) {
             for (int i = 0; i < CONSUMERS; i++) {
-                connections.add(world.connect("broker"));
-                new Consuming(connections.get(i), i);
+                connections.add(fixture.connect("broker"));
+                new TestConsumer(connections.get(i), i);
             }
             for (int i = 0; i < MESSAGES; i++) {
                 todo.add((i % 2 == 0 ? TrialWorld.KEYED : TrialWorld.ONCE) + "-" + i);
             }
             List<Thread> publishers = new ArrayList<>();
             for (int i = 0; i < PUBLISHERS; i++) {
-                connections.add(world.connect("desk"));
-                publishers.add(new Thread(new Publishing(connections.get(CONSUMERS + i), i)));
+                connections.add(fixture.connect("desk"));
+                publishers.add(new Thread(new TestPublisher(connections.get(CONSUMERS + i), i)));
             }
             publishers.forEach(Thread::start);
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(150);
-            while (ends.size() < MESSAGES && System.nanoTime() < end) {
+            while (finalAnswers.size() < MESSAGES && System.nanoTime() < end) {
                 TimeUnit.MILLISECONDS.sleep(10);
             }
             over = true;
@@ -218,21 +220,22 @@
                 publisher.join();
             }
             assertEquals(List.of(), faults.stream().limit(5).toList());
-            assertEquals(MESSAGES, ends.size(), "without an end");
-            assertTrue(consumerKills.get() >= 10, "consumers were killed: " + consumerKills);
-            Map<String, Integer> told = new TreeMap<>();
-            ends.forEach((id, e) -> told.merge(e, 1, Integer::sum));
+            assertEquals(MESSAGES, finalAnswers.size(), "messages with a final answer");
+            assertTrue(consumerKills.get() >= 10, "consumer channels closed: " + consumerKills);
+            Map<String, Integer> counts = new TreeMap<>();
+            finalAnswers.forEach((id, e) -> counts.merge(e, 1, Integer::sum));
             runs.forEach((id, when) -> {
                 boolean once = id.startsWith(TrialWorld.ONCE);
                 long span = when.get(when.size() - 1) - when.get(0);
                 assertTrue(when.size() == 1 || !once && span <= TimeUnit.MILLISECONDS.toNanos(TrialWorld.WINDOW_MS),
                         () -> id + " ran " + when.size() + " times");
             });
-            ends.forEach((id, e) -> assertTrue(e.equals("failed") || runs.containsKey(id), id + " was confirmed and never ran"));
-            assertTrue(told.get("delivered") > MESSAGES / 10, told::toString);
+            finalAnswers.forEach((id, e) -> assertTrue(e.equals("failed") || runs.containsKey(id),
+                    id + " was confirmed and never ran"));
+            assertTrue(counts.get("delivered") > MESSAGES / 10, counts::toString);
             connections.forEach(Connection::abort);
-            world.daemon.kill();
-            world.daemon = null;
+            fixture.daemon.kill();
+            fixture.daemon = null;
             Journal journal = new Journal(folder.resolve("state"), 12_000_000, 6, ProcessClock.system().reference(),
                     FileChannel::open);
             assertEquals(List.of(), journal.pendingMessages().stream().filter(h -> !h.finished).map(h -> h.id).toList());
--- a/src/test/java/slipfield/daemon/AmqpFixture.java
+++ b/src/test/java/slipfield/daemon/AmqpFixture.java
@@ -14,13 +14,13 @@
 import slipfield.config.Config;
 import slipfield.standin.TrialWorld;
 
-/** A sender in this process with AMQP on, one venue over HTTP (destination 1), and a queue (destination 7). */
+/** Runs a sender with AMQP in this process, with one venue over HTTP (destination 1) and a queue (destination 7). */
 final class AmqpFixture implements AutoCloseable {
     static final String PASSWORD = "secret of tests";
     static final String QUEUE = "venue-7";
     static final String EXCHANGE = "orders";
     private static final long GIVE_UP_MS = 24_000;
-    /** Checked at once: a login's cost is not what these tests are about, and a client's patience with it is 5 s. */
+    /** Hashed with cost 1, so that it is checked at once: these tests don't test the cost of logins, and clients wait 5 s. */
     private static final String HASHED = Secret.of(PASSWORD, 1).toString();
     private static final int HANDSHAKE_MS = 120_000;
 
@@ -32,7 +32,7 @@
         this(folder, "limits: {heartbeat: 10s}\n");
     }
 
-    /** {@code more}: what the file has besides listener, users, exchanges and queues. */
+    /** {@code more}: further settings of the file, besides listener, users, exchanges and queues. */
     AmqpFixture(Path folder, String more) throws Exception {
         this(folder, more, GIVE_UP_MS);
     }
--- a/src/test/java/slipfield/daemon/AmqpFramesTest.java
+++ b/src/test/java/slipfield/daemon/AmqpFramesTest.java
@@ -30,43 +30,43 @@
 import slipfield.amqp.server.ConnectionReport;
 import slipfield.standin.Stub;
 
-/** What a good client can't send, frame by frame, against the whole sender; and that others are served meanwhile. */
+/** Sends frames to a complete sender that no correct client sends; other clients must be served meanwhile. */
 @Timeout(120)
 class AmqpFramesTest {
     private static final Method PUBLISH = Method.of(MethodId.BASIC_PUBLISH, 0, AmqpFixture.EXCHANGE, "order.1", true, false);
 
     @TempDir
     private Path folder;
-    private AmqpFixture world;
+    private AmqpFixture fixture;
 
     @BeforeEach
     void open() throws Exception {
-        world = new AmqpFixture(folder, "limits: {heartbeat: 1s, body_octets: 20000, unsettled: 300, unsettled_each: 200, "
+        fixture = new AmqpFixture(folder, "limits: {heartbeat: 1s, body_octets: 20000, unsettled: 300, unsettled_each: 200, "
                 + "connections: 80}\n").start();
     }
 
     @AfterEach
     void close() {
-        world.close();
+        fixture.close();
     }
 
     private RawPeer peer(String user) throws IOException {
-        return RawPeer.open(world.address(), user, 0);
+        return RawPeer.open(fixture.address(), user, 0);
     }
 
     private static Properties order(String id) {
         return Properties.NONE.with(Properties.Property.MESSAGE_ID, id).with(Properties.Property.CORRELATION_ID, id);
     }
 
-    private static void confirms(RawPeer peer) throws IOException {
+    private static void enableConfirms(RawPeer peer) throws IOException {
         peer.send(1, MethodId.CONFIRM_SELECT, false);
         peer.await(MethodId.CONFIRM_SELECT_OK);
     }
 
-    /** Publishers that behave are served, whatever the others do. */
-    private void othersAreServed() throws IOException {
+    /** Checks that a publisher that follows the protocol is served. */
+    private void assertOthersAreServed() throws IOException {
         try (RawPeer good = peer("desk")) {
-            confirms(good);
+            enableConfirms(good);
             good.send(new Frame.Content(1, PUBLISH, order("good"), new byte[10]));
             good.await(MethodId.BASIC_ACK);
         }
@@ -81,24 +81,24 @@
         return 0;
     }
 
-    private interface Sends {
+    private interface FrameSender {
         void to(RawPeer peer) throws IOException;
     }
 
-    private void closesConnection(int code, Sends sends) throws IOException {
+    private void assertClosesConnection(int code, FrameSender sender) throws IOException {
         try (RawPeer peer = peer("desk")) {
-            sends.to(peer);
-            assertEquals(code, closed(peer, MethodId.CONNECTION_CLOSE));
+            sender.to(peer);
+            assertEquals(code, awaitClose(peer, MethodId.CONNECTION_CLOSE));
             peer.send(0, MethodId.CONNECTION_CLOSE_OK);
             assertNull(peer.next());
         }
     }
 
-    private void closesChannel(int code, Sends sends) throws IOException {
+    private void assertClosesChannel(int code, FrameSender sender) throws IOException {
         try (RawPeer peer = peer("desk")) {
-            sends.to(peer);
-            assertEquals(code, closed(peer, MethodId.CHANNEL_CLOSE));
-            // What was on its way is ignored; the connection lives on, and the channel can be opened again.
+            sender.to(peer);
+            assertEquals(code, awaitClose(peer, MethodId.CHANNEL_CLOSE));
+            // Frames in transit are ignored; the connection stays open, and the channel can be opened again.
             peer.send(new Frame.Content(1, PUBLISH, Properties.NONE, new byte[10]));
             peer.send(1, MethodId.CHANNEL_CLOSE_OK);
             peer.send(1, MethodId.CHANNEL_OPEN, "");
@@ -109,61 +109,63 @@
     @Test
     void hardErrorsCloseTheConnectionWithTheirCode() throws Exception {
         Frame body = new Frame.OfBody(1, Unpooled.wrappedBuffer(new byte[10]));
-        closesConnection(505, p -> p.send(body));
-        closesConnection(505, p -> p.send(new Frame.OfHeader(1, 10, Properties.NONE)));
-        closesConnection(505, p -> {
-            confirms(p);
+        assertClosesConnection(505, p -> p.send(body));
+        assertClosesConnection(505, p -> p.send(new Frame.OfHeader(1, 10, Properties.NONE)));
+        assertClosesConnection(505, p -> {
+            enableConfirms(p);
             p.send(new Frame.OfMethod(1, PUBLISH));
             p.send(1, MethodId.BASIC_QOS, 0L, 1, false);
         });
-        closesConnection(501, p -> {
-            confirms(p);
+        assertClosesConnection(501, p -> {
+            enableConfirms(p);
             p.send(new Frame.OfMethod(1, PUBLISH));
             p.send(new Frame.OfHeader(1, 5, Properties.NONE));
             p.send(new Frame.OfBody(1, Unpooled.wrappedBuffer(new byte[10])));
         });
-        closesConnection(505, p -> p.send(new Frame.OfHeader(0, 10, Properties.NONE)));
-        closesConnection(503, p -> p.send(0, MethodId.BASIC_QOS, 0L, 1, false));
-        closesConnection(503, p -> p.send(1, MethodId.BASIC_QOS_OK));
-        closesConnection(503, p -> p.socket.getOutputStream().write(new byte[] {1, 0, 1, 0, 0, 0, 4, 0, 60, 0, 99, (byte) 0xCE}));
-        closesConnection(501, p -> p.socket.getOutputStream().write(new byte[] {3, 0, 1, 0, 1, 0, 0}));
-        closesConnection(504, p -> p.send(2, MethodId.BASIC_QOS, 0L, 1, false));
-        closesConnection(504, p -> p.send(1, MethodId.CHANNEL_OPEN, ""));
-        closesConnection(530, p -> p.send(65, MethodId.CHANNEL_OPEN, ""));
-        closesConnection(540, p -> p.send(1, MethodId.TX_SELECT));
-        closesConnection(540, p -> p.send(1, MethodId.BASIC_RECOVER, true));
+        assertClosesConnection(505, p -> p.send(new Frame.OfHeader(0, 10, Properties.NONE)));
+        assertClosesConnection(503, p -> p.send(0, MethodId.BASIC_QOS, 0L, 1, false));
+        assertClosesConnection(503, p -> p.send(1, MethodId.BASIC_QOS_OK));
+        assertClosesConnection(503, p -> p.socket.getOutputStream().write(
+                new byte[] {1, 0, 1, 0, 0, 0, 4, 0, 60, 0, 99, (byte) 0xCE}));
+        assertClosesConnection(501, p -> p.socket.getOutputStream().write(new byte[] {3, 0, 1, 0, 1, 0, 0}));
+        assertClosesConnection(504, p -> p.send(2, MethodId.BASIC_QOS, 0L, 1, false));
+        assertClosesConnection(504, p -> p.send(1, MethodId.CHANNEL_OPEN, ""));
+        assertClosesConnection(530, p -> p.send(65, MethodId.CHANNEL_OPEN, ""));
+        assertClosesConnection(540, p -> p.send(1, MethodId.TX_SELECT));
+        assertClosesConnection(540, p -> p.send(1, MethodId.BASIC_RECOVER, true));
         Map<String, Object> table = new HashMap<>();
         for (int i = 0; i < 200; i++) {
             table = new HashMap<>(Map.of("t", table));
         }
         Map<String, Object> deep = table;
-        closesConnection(502, p -> p.send(1, MethodId.QUEUE_DECLARE, 0, "q", false, false, false, false, false, deep));
-        othersAreServed();
+        assertClosesConnection(502, p -> p.send(1, MethodId.QUEUE_DECLARE, 0, "q", false, false, false, false, false, deep));
+        assertOthersAreServed();
     }
 
     @Test
     void softErrorsCloseTheChannelAlone() throws Exception {
-        closesChannel(406, p -> p.send(new Frame.OfMethod(1, PUBLISH)));
-        closesChannel(404, p -> {
-            confirms(p);
+        assertClosesChannel(406, p -> p.send(new Frame.OfMethod(1, PUBLISH)));
+        assertClosesChannel(404, p -> {
+            enableConfirms(p);
             p.send(new Frame.OfMethod(1, Method.of(MethodId.BASIC_PUBLISH, 0, "nowhere", "order.1", true, false)));
         });
-        closesChannel(311, p -> {
-            confirms(p);
+        assertClosesChannel(311, p -> {
+            enableConfirms(p);
             p.send(new Frame.OfMethod(1, PUBLISH));
             p.send(new Frame.OfHeader(1, 20_001, Properties.NONE));
         });
-        closesChannel(406, p -> p.send(1, MethodId.BASIC_ACK, 1L, false));
-        closesChannel(403, p -> p.send(1, MethodId.BASIC_CONSUME, 0, AmqpFixture.QUEUE, "", false, false, false, false,
+        assertClosesChannel(406, p -> p.send(1, MethodId.BASIC_ACK, 1L, false));
+        assertClosesChannel(403, p -> p.send(1, MethodId.BASIC_CONSUME, 0, AmqpFixture.QUEUE, "", false, false, false, false,
                 Map.of()));
-        closesChannel(404, p -> p.send(1, MethodId.QUEUE_DECLARE, 0, "nowhere", false, false, false, false, false, Map.of()));
-        closesChannel(403, p -> p.send(1, MethodId.QUEUE_DELETE, 0, AmqpFixture.QUEUE, false, false, false));
-        othersAreServed();
+        assertClosesChannel(404, p -> p.send(1, MethodId.QUEUE_DECLARE, 0, "nowhere", false, false, false, false, false,
+                Map.of()));
+        assertClosesChannel(403, p -> p.send(1, MethodId.QUEUE_DELETE, 0, AmqpFixture.QUEUE, false, false, false));
+        assertOthersAreServed();
     }
 
     @Test
-    void whatIsNoAmqpIsToldWhatIsSpokenHere() throws Exception {
-        try (RawPeer peer = new RawPeer(world.address())) {
+    void answersOtherProtocolsWithTheProtocolHeader() throws Exception {
+        try (RawPeer peer = new RawPeer(fixture.address())) {
             peer.socket.getOutputStream().write("GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             assertArrayEquals(new byte[] {'A', 'M', 'Q', 'P', 0, 0, 9, 1}, peer.socket.getInputStream().readNBytes(8));
             assertEquals(-1, peer.socket.getInputStream().read());
@@ -171,42 +173,42 @@
     }
 
     @Test
-    void aBodyInTenThousandFramesIsOneMessage() throws Exception {
+    void acceptsABodyInTenThousandFrames() throws Exception {
         try (RawPeer peer = peer("desk")) {
-            confirms(peer);
+            enableConfirms(peer);
             peer.send(new Frame.OfMethod(1, PUBLISH));
             peer.send(new Frame.OfHeader(1, 10_000, order("parts")));
             for (int i = 0; i < 10_000; i++) {
                 peer.send(new Frame.OfBody(1, Unpooled.wrappedBuffer(new byte[] {(byte) i})));
             }
             assertEquals(1, peer.await(MethodId.BASIC_ACK).number("delivery-tag"));
-            assertEquals(1, world.world.ledger().runs("parts").size());
+            assertEquals(1, fixture.world.ledger().runs("parts").size());
         }
     }
 
-    /** A connection that is cut inside a frame takes nothing with it that was whole, and adds nothing that was not. */
+    /** A connection is closed within a frame: the complete message before it is delivered, the incomplete one is not. */
     @Test
-    void aConnectionCutInsideAFrameLosesNothingThatWasWhole() throws Exception {
+    void deliversCompleteMessagesOfAConnectionClosedWithinAFrame() throws Exception {
         for (int cut : new int[] {1, 7, 20, 60, 90}) {
             try (RawPeer peer = peer("desk")) {
-                confirms(peer);
+                enableConfirms(peer);
                 peer.send(new Frame.Content(1, PUBLISH, order("whole" + cut), new byte[10]));
-                byte[] second = peer.octets(new Frame.Content(1, PUBLISH, order("part" + cut), new byte[10]));
+                byte[] second = peer.encode(new Frame.Content(1, PUBLISH, order("part" + cut), new byte[10]));
                 peer.socket.getOutputStream().write(Arrays.copyOf(second, Math.min(cut, second.length - 1)));
             }
-            Stub.await("what was whole is delivered", () -> world.world.ledger().runs("whole" + cut).size() == 1);
-            assertEquals(List.of(), world.world.ledger().runs("part" + cut));
+            Stub.await("the complete message is delivered", () -> fixture.world.ledger().runs("whole" + cut).size() == 1);
+            assertEquals(List.of(), fixture.world.ledger().runs("part" + cut));
         }
-        othersAreServed();
+        assertOthersAreServed();
     }
 
     @Test
-    void aPublisherThatReadsNothingIsReadNoFurther() throws Exception {
+    void stopsReadingFromAPublisherThatReadsNothing() throws Exception {
         AtomicInteger sent = new AtomicInteger();
         int most = 200_000;
         try (RawPeer peer = peer("desk")) {
-            confirms(peer);
-            byte[] lost = peer.octets(new Frame.Content(1, Method.of(MethodId.BASIC_PUBLISH, 0, AmqpFixture.EXCHANGE, "nowhere",
+            enableConfirms(peer);
+            byte[] lost = peer.encode(new Frame.Content(1, Method.of(MethodId.BASIC_PUBLISH, 0, AmqpFixture.EXCHANGE, "nowhere",
                     true, false), Properties.NONE, new byte[1000]));
             Thread flood = new Thread(() -> {
                 try {
@@ -214,27 +216,28 @@
                         peer.socket.getOutputStream().write(lost);
                     }
                 } catch (IOException closed) {
-                    // At the end of the test.
+                    // Expected at the end of the test.
                 }
             });
             flood.start();
-            Stub.await("it is seen to read nothing", () -> world.report().stream().anyMatch(ConnectionReport::readsNothing));
-            othersAreServed();
-            assertTrue(sent.get() < most, "all of it was taken in");
+            Stub.await("the sender notices that the peer reads nothing", () -> fixture.report().stream()
+                    .anyMatch(ConnectionReport::readsNothing));
+            assertOthersAreServed();
+            assertTrue(sent.get() < most, "the sender read everything");
             peer.close();
             flood.join();
         }
-        Stub.await("its connection is gone", () -> world.report().isEmpty());
+        Stub.await("its connection is closed", () -> fixture.report().isEmpty());
     }
 
-    /** Unsettled messages are bounded for one connection and for all, by pausing and not by refusing. */
+    /** Unsettled messages are limited per connection and in total, by not reading further rather than by refusing messages. */
     @Test
-    void publishesByTheThousandArePausedAndAllConfirmed() throws Exception {
+    void pausesAndConfirmsThousandsOfPublishes() throws Exception {
         try (RawPeer consumer = peer("broker"); RawPeer peer = peer("desk")) {
             consumer.send(1, MethodId.BASIC_QOS, 0L, 64, false);
             consumer.send(1, MethodId.BASIC_CONSUME, 0, AmqpFixture.QUEUE, "c", false, false, false, false, Map.of());
             consumer.await(MethodId.BASIC_CONSUME_OK);
-            confirms(peer);
+            enableConfirms(peer);
             Thread publishing = new Thread(() -> {
                 try {
                     for (int i = 0; i < 2000; i++) {
@@ -246,9 +249,9 @@
                 }
             });
             publishing.start();
-            Stub.await("as much is unsettled as may be", () -> unconfirmed() >= 200);
-            // What one read holds is looked at before the pause takes hold.
-            assertTrue(unconfirmed() <= 200 + 300, "more than it may have: " + unconfirmed());
+            Stub.await("the limit of unsettled messages is reached", () -> unconfirmed() >= 200);
+            // Messages of one read are all processed before reading stops.
+            assertTrue(unconfirmed() <= 200 + 300, "over the limit: " + unconfirmed());
             Thread acks = new Thread(() -> {
                 try {
                     for (int i = 0; i < 2000; i++) {
@@ -263,7 +266,7 @@
             boolean[] confirmed = new boolean[2001];
             for (int left = 2000; left > 0; ) {
                 Frame frame = peer.next();
-                assertTrue(frame instanceof Frame.OfMethod m && m.method().id() == MethodId.BASIC_ACK, () -> "heard " + frame);
+                assertTrue(frame instanceof Frame.OfMethod m && m.method().id() == MethodId.BASIC_ACK, () -> "received " + frame);
                 Method ack = ((Frame.OfMethod) frame).method();
                 for (long t = ack.flag("multiple") ? 1 : ack.number("delivery-tag"); t <= ack.number("delivery-tag"); t++) {
                     left -= confirmed[(int) t] ? 0 : 1;
@@ -276,32 +279,32 @@
     }
 
     private int unconfirmed() {
-        return world.report().stream().mapToInt(ConnectionReport::unconfirmed).sum();
+        return fixture.report().stream().mapToInt(ConnectionReport::unconfirmed).sum();
     }
 
     @Test
-    void aPeerThatMissesTwoHeartbeatsIsGone() throws Exception {
-        try (RawPeer silent = RawPeer.open(world.address(), "desk", 1)) {
+    void closesAConnectionAfterTwoMissedHeartbeats() throws Exception {
+        try (RawPeer silent = RawPeer.open(fixture.address(), "desk", 1)) {
             long begun = System.nanoTime();
             assertNull(silent.next());
-            assertTrue(System.nanoTime() - begun > TimeUnit.MILLISECONDS.toNanos(1900), "two of a second each");
+            assertTrue(System.nanoTime() - begun > TimeUnit.MILLISECONDS.toNanos(1900), "two heartbeats of 1 s");
         }
-        othersAreServed();
+        assertOthersAreServed();
     }
 
     @Test
-    void aThousandWrongPasswordsHarmNobodyElse() throws Exception {
+    void servesOthersDuringAThousandFailedLogins() throws Exception {
         AtomicInteger refused = new AtomicInteger();
         AtomicInteger admitted = new AtomicInteger();
         AtomicInteger guess = new AtomicInteger();
         List<Thread> guessing = new ArrayList<>();
-        InetSocketAddress address = world.address();
+        InetSocketAddress address = fixture.address();
         for (int t = 0; t < 20; t++) {
             guessing.add(new Thread(() -> {
                 for (int i = 0; i < 50; i++) {
                     try (RawPeer peer = new RawPeer(address)) {
                         peer.login("desk", "guess" + guess.incrementAndGet());
-                        // Nobody waits for seconds who guesses: the next try comes at once.
+                        // Does not wait for the delayed answer: the next guess follows at once.
                         peer.socket.setSoTimeout(50);
                         Frame answer = peer.next();
                         (answer instanceof Frame.OfMethod m && m.method().id() == MethodId.CONNECTION_TUNE ? admitted : refused)
@@ -323,16 +326,16 @@
         }
         assertEquals(0, admitted.get());
         assertEquals(1000, refused.get());
-        Stub.await("connections of guesses are gone", () -> world.report().size() <= 40);
-        othersAreServed();
+        Stub.await("connections of failed logins are closed", () -> fixture.report().size() <= 40);
+        assertOthersAreServed();
     }
 
-    /** Come back all at once, connections of one user share the check of its secret. */
+    /** Many connections of one user log in at once: they share one check of its secret. */
     @Test
-    void manyConnectionsOfOneUserLogInAtOnce() throws Exception {
+    void admitsManyConnectionsOfOneUserAtOnce() throws Exception {
         List<RawPeer> peers = new ArrayList<>();
         for (int i = 0; i < 70; i++) {
-            RawPeer peer = new RawPeer(world.address());
+            RawPeer peer = new RawPeer(fixture.address());
             peer.login("desk", AmqpFixture.PASSWORD);
             peers.add(peer);
         }
@@ -340,6 +343,6 @@
             peer.await(MethodId.CONNECTION_TUNE);
             peer.close();
         }
-        othersAreServed();
+        assertOthersAreServed();
     }
 }
--- a/src/test/java/slipfield/daemon/AmqpRestartTest.java
+++ b/src/test/java/slipfield/daemon/AmqpRestartTest.java
@@ -24,18 +24,18 @@
 import slipfield.standin.Stub;
 import slipfield.standin.TrialWorld;
 
-/** A sender that is killed (SIGKILL) while it owes confirms, as a process of its own. */
+/** A sender process is killed by SIGKILL while publishes are unconfirmed, and restarted. */
 @Timeout(150)
 class AmqpRestartTest {
-    private static final int MANY = 20;
+    private static final int MESSAGES = 20;
 
     @TempDir
     private Path folder;
     private final Map<String, List<Long>> runs = new ConcurrentHashMap<>();
-    /** Deliveries that said another thing of having been out before than was so. */
-    private final List<String> misnamed = new CopyOnWriteArrayList<>();
-    /** Until it is true, a consumer runs what it gets and acknowledges nothing. */
-    private volatile boolean acknowledges;
+    /** Ids of deliveries with a wrong redelivered flag. */
+    private final List<String> wrongRedelivered = new CopyOnWriteArrayList<>();
+    /** While false, the consumer records deliveries without acknowledging them. */
+    private volatile boolean acknowledge;
 
     private Connection consumer(int port) throws Exception {
         Connection connection = AmqpFixture.factory("broker", port).newConnection();
@@ -46,10 +46,10 @@
                     throws IOException {
                 List<Long> earlier = runs.computeIfAbsent(properties.getMessageId(), id -> new CopyOnWriteArrayList<>());
                 if (envelope.isRedeliver() == earlier.isEmpty()) {
-                    misnamed.add(properties.getMessageId());
+                    wrongRedelivered.add(properties.getMessageId());
                 }
                 earlier.add(System.nanoTime());
-                if (acknowledges) {
+                if (acknowledge) {
                     channel.basicAck(envelope.getDeliveryTag(), false);
                 }
             }
@@ -60,7 +60,7 @@
     private static Channel publish(Connection connection, String kind) throws IOException {
         Channel channel = connection.createChannel();
         channel.confirmSelect();
-        for (int i = 0; i < MANY; i++) {
+        for (int i = 0; i < MESSAGES; i++) {
             channel.basicPublish(AmqpFixture.EXCHANGE, kind + ".7", true, new AMQP.BasicProperties.Builder()
                     .messageId(kind + i).correlationId(kind + i).build(), new byte[10]);
         }
@@ -68,40 +68,41 @@
     }
 
     @Test
-    void whatWasUnconfirmedIsPublishedAgainAndRunsNoTwice() throws Exception {
+    void runsNothingTwiceWhenUnconfirmedPublishesAreRepeated() throws Exception {
         int port = TrialWorld.freeAddress().getPort();
         try (TrialWorld world = new TrialWorld(folder, new TrialWorld.Size(1, 1e6, 0, 20_000, 4000, 500));
                 SenderProcess sender = new SenderProcess(folder, List.of(), SenderProcess.SMALL)) {
             Files.writeString(folder.resolve("amqp.yaml"), AmqpFixture.file("127.0.0.1:" + port, "limits: {prefetch: 500}\n"));
             sender.start();
-            Stub.await("AMQP listens", () -> consumerIsIn(port));
+            Stub.await("AMQP listens", () -> tryConsumer(port));
             Connection first = AmqpFixture.factory("desk", port).newConnection();
             Channel keyed = publish(first, TrialWorld.KEYED);
             Channel once = publish(first, TrialWorld.ONCE);
-            Stub.await("all are out", () -> runs.size() == 2 * MANY);
+            Stub.await("all are delivered", () -> runs.size() == 2 * MESSAGES);
             sender.kill();
-            Stub.await("the publisher sees the connection go", () -> !first.isOpen() && !keyed.isOpen() && !once.isOpen());
-            acknowledges = true;
+            Stub.await("the publisher sees the connection close", () -> !first.isOpen() && !keyed.isOpen() && !once.isOpen());
+            acknowledge = true;
             sender.start();
-            Stub.await("AMQP listens again", () -> consumerIsIn(port));
+            Stub.await("AMQP listens again", () -> tryConsumer(port));
             Connection second = AmqpFixture.factory("desk", port).newConnection();
             List<String> back = new CopyOnWriteArrayList<>();
             Channel keyedAgain = publish(second, TrialWorld.KEYED);
             keyedAgain.addReturnListener(r -> back.add(r.getProperties().getHeaders().get("x-slipfield-end") + " "
                     + r.getProperties().getMessageId()));
             keyedAgain.waitForConfirms(TimeUnit.SECONDS.toMillis(30));
-            // On a slow machine its window may be over when the sender is back: then it is given up, and not run again.
-            assertEquals(List.of(), back.stream().filter(b -> !b.startsWith("failed")).toList(), "what ran is not told as refused");
+            // On a slow machine the window may be over after the restart: the message then fails and does not run again.
+            assertEquals(List.of(), back.stream().filter(b -> !b.startsWith("failed")).toList(),
+                    "a message that ran is not reported as refused");
             back.clear();
             Channel onceAgain = second.createChannel();
             onceAgain.confirmSelect();
             onceAgain.addReturnListener(r -> back.add(r.getProperties().getHeaders().get("x-slipfield-end").toString()));
-            for (int i = 0; i < MANY; i++) {
+            for (int i = 0; i < MESSAGES; i++) {
                 onceAgain.basicPublish(AmqpFixture.EXCHANGE, "once.7", true, new AMQP.BasicProperties.Builder()
                         .messageId(TrialWorld.ONCE + i).build(), new byte[10]);
             }
             onceAgain.waitForConfirms(TimeUnit.SECONDS.toMillis(30));
-            assertEquals(MANY, back.size(), "what may have run, and must not run twice, is given up");
+            assertEquals(MESSAGES, back.size(), "an unsafe message that may have run fails");
             assertEquals(List.of(), back.stream().filter(end -> !end.equals("failed")).toList());
             List<String> twice = new ArrayList<>();
             runs.forEach((id, when) -> {
@@ -112,12 +113,12 @@
                 }
             });
             assertEquals(List.of(), twice);
-            assertEquals(List.of(), misnamed, "what went out in an earlier life says so");
+            assertEquals(List.of(), wrongRedelivered, "redelivered flag of deliveries from before the restart");
             second.abort();
         }
     }
 
-    private boolean consumerIsIn(int port) {
+    private boolean tryConsumer(int port) {
         try {
             consumer(port);
             return true;
--- a/src/test/java/slipfield/daemon/AmqpTest.java
+++ b/src/test/java/slipfield/daemon/AmqpTest.java
@@ -39,31 +39,31 @@
 import org.junit.jupiter.api.io.TempDir;
 import slipfield.standin.Stub;
 
-/** Publishers and consumers of a client library that is not ours, against the whole sender. */
+/** Tests a complete sender with publishers and consumers of the RabbitMQ client library. */
 class AmqpTest {
-    private static final long SOON_S = 30;
+    private static final long TIMEOUT_S = 30;
 
-    /** A delivery as a consumer saw it. */
-    private record Seen(Channel channel, Envelope envelope, AMQP.BasicProperties properties, String body) {
+    /** A delivery as a consumer received it. */
+    private record Delivery(Channel channel, Envelope envelope, AMQP.BasicProperties properties, String body) {
     }
 
     @TempDir
     private Path folder;
-    private AmqpFixture world;
+    private AmqpFixture fixture;
     private final List<Connection> connections = new ArrayList<>();
-    /** What publishers heard, in its order. */
-    private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
+    /** The acks, nacks and returns that publishers received, in order. */
+    private final BlockingQueue<String> received = new LinkedBlockingQueue<>();
 
     @AfterEach
     void close() {
         connections.forEach(Connection::abort);
-        if (world != null) {
-            world.close();
+        if (fixture != null) {
+            fixture.close();
         }
     }
 
     private Channel channel(String user) throws Exception {
-        Connection connection = world.connect(user);
+        Connection connection = fixture.connect(user);
         connections.add(connection);
         return connection.createChannel();
     }
@@ -71,30 +71,33 @@
     private Channel publisher() throws Exception {
         Channel channel = channel("desk");
         channel.confirmSelect();
-        Set<Long> told = ConcurrentHashMap.newKeySet();
-        channel.addConfirmListener((tag, multiple) -> each(told, "ack ", tag, multiple),
-                (tag, multiple) -> each(told, "nack ", tag, multiple));
-        channel.addReturnListener(back -> heard.add("return " + back.getReplyCode() + " "
+        Set<Long> confirmed = ConcurrentHashMap.newKeySet();
+        channel.addConfirmListener((tag, multiple) -> recordConfirms(confirmed, "ack ", tag, multiple),
+                (tag, multiple) -> recordConfirms(confirmed, "nack ", tag, multiple));
+        channel.addReturnListener(back -> received.add("return " + back.getReplyCode() + " "
                 + back.getProperties().getHeaders().get("x-slipfield-end") + " " + back.getProperties().getMessageId()));
         return channel;
     }
 
-    /** Several at once are all up to there that were not told before: some of those may have been told out of order. */
-    private void each(Set<Long> told, String what, long tag, boolean multiple) {
+    /**
+     * Records a confirm. One with {@code multiple} confirms all earlier tags that were not confirmed yet; confirms may come
+     * out of order.
+     */
+    private void recordConfirms(Set<Long> confirmed, String what, long tag, boolean multiple) {
         for (long t = multiple ? 1 : tag; t <= tag; t++) {
-            if (told.add(t)) {
-                heard.add(what + t);
+            if (confirmed.add(t)) {
+                received.add(what + t);
             }
         }
     }
 
-    private BlockingQueue<Seen> consumer(Channel channel, String tag, int prefetch) throws IOException {
-        BlockingQueue<Seen> seen = new LinkedBlockingQueue<>();
+    private BlockingQueue<Delivery> consumer(Channel channel, String tag, int prefetch) throws IOException {
+        BlockingQueue<Delivery> seen = new LinkedBlockingQueue<>();
         channel.basicQos(prefetch);
         channel.basicConsume(AmqpFixture.QUEUE, false, tag, new DefaultConsumer(channel) {
             @Override
             public void handleDelivery(String consumerTag, Envelope envelope, AMQP.BasicProperties properties, byte[] body) {
-                seen.add(new Seen(channel, envelope, properties, new String(body, StandardCharsets.UTF_8)));
+                seen.add(new Delivery(channel, envelope, properties, new String(body, StandardCharsets.UTF_8)));
             }
         });
         return seen;
@@ -117,34 +120,34 @@
     }
 
     private String next() throws InterruptedException {
-        String next = heard.poll(SOON_S, TimeUnit.SECONDS);
+        String next = received.poll(TIMEOUT_S, TimeUnit.SECONDS);
         return next == null ? "nothing" : next;
     }
 
-    private static Seen next(BlockingQueue<Seen> seen) throws InterruptedException {
-        Seen next = seen.poll(SOON_S, TimeUnit.SECONDS);
+    private static Delivery next(BlockingQueue<Delivery> seen) throws InterruptedException {
+        Delivery next = seen.poll(TIMEOUT_S, TimeUnit.SECONDS);
         assertTrue(next != null, "no delivery came");
         return next;
     }
 
     @Test
-    void aConfirmIsNotSentBeforeTheConsumersAck() throws Exception {
-        world = new AmqpFixture(folder).start();
-        BlockingQueue<Seen> seen = consumer(channel("broker"), "c", 10);
+    void confirmsOnlyAfterTheConsumersAck() throws Exception {
+        fixture = new AmqpFixture(folder).start();
+        BlockingQueue<Delivery> seen = consumer(channel("broker"), "c", 10);
         Channel publisher = publisher();
         publish(publisher, "order.7", "m1");
         publish(publisher, "order.7", "m2");
-        // Which of the two comes first is the module's affair.
-        Seen one = next(seen);
-        Seen other = next(seen);
-        Seen first = one.properties.getMessageId().equals("m1") ? one : other;
-        Seen second = first == one ? other : one;
+        // The delivery policy decides which of the two comes first.
+        Delivery one = next(seen);
+        Delivery other = next(seen);
+        Delivery first = one.properties.getMessageId().equals("m1") ? one : other;
+        Delivery second = first == one ? other : one;
         assertEquals("m1 key-m1 body of m1", first.properties.getMessageId() + " " + first.properties.getCorrelationId()
                 + " " + first.body);
         assertFalse(first.envelope.isRedeliver());
         assertTrue(Long.parseLong(first.properties.getExpiration()) > 0);
-        assertTrue(heard.isEmpty(), "confirmed before its end: " + heard);
-        Stub.await("what is out is in the file for people", () -> view().contains("\"unconfirmed\":2,\"consumers\":0,\"out\":0")
+        assertTrue(received.isEmpty(), "confirmed before the final answer: " + received);
+        Stub.await("the status file shows what is in flight", () -> view().contains("\"unconfirmed\":2,\"consumers\":0,\"out\":0")
                 && view().contains("\"unconfirmed\":0,\"consumers\":1,\"out\":2"));
         second.channel.basicAck(second.envelope.getDeliveryTag(), false);
         assertEquals("ack 2", next());
@@ -153,27 +156,27 @@
     }
 
     @Test
-    void aVenueOverHttpIsDeliveredToAsWell() throws Exception {
-        world = new AmqpFixture(folder).start();
+    void deliversToAVenueOverHttp() throws Exception {
+        fixture = new AmqpFixture(folder).start();
         Channel publisher = publisher();
         for (int i = 1; i <= 50; i++) {
             publish(publisher, "order.1", "h" + i);
         }
-        assertTrue(publisher.waitForConfirms(TimeUnit.SECONDS.toMillis(SOON_S)));
-        assertEquals(1, world.world.ledger().runs("key-h50").size());
+        assertTrue(publisher.waitForConfirms(TimeUnit.SECONDS.toMillis(TIMEOUT_S)));
+        assertEquals(1, fixture.world.ledger().runs("key-h50").size());
     }
 
     @Test
-    void whatWasRejectedIsGivenBackBeforeItsNack() throws Exception {
-        world = new AmqpFixture(folder).start();
-        BlockingQueue<Seen> seen = consumer(channel("broker"), "c", 10);
+    void returnsARejectedMessageBeforeItsNack() throws Exception {
+        fixture = new AmqpFixture(folder).start();
+        BlockingQueue<Delivery> seen = consumer(channel("broker"), "c", 10);
         Channel publisher = publisher();
         publish(publisher, "once.7", "m1");
-        Seen first = next(seen);
+        Delivery first = next(seen);
         first.channel.basicReject(first.envelope.getDeliveryTag(), false);
         assertEquals("return 541 failed m1", next());
         assertEquals("nack 1", next());
-        // Its id is known: it is not taken again under it.
+        // The id is remembered: a message with it is not accepted again.
         publish(publisher, "once.7", "m1");
         assertEquals("return 541 failed m1", next());
         assertEquals("nack 2", next());
@@ -181,22 +184,22 @@
     }
 
     @Test
-    void whatIsGivenBackUnseenGoesElsewhereOnce() throws Exception {
-        world = new AmqpFixture(folder).start();
-        BlockingQueue<Seen> seen = consumer(channel("broker"), "c1", 1);
+    void redeliversARequeuedMessageOnce() throws Exception {
+        fixture = new AmqpFixture(folder).start();
+        BlockingQueue<Delivery> seen = consumer(channel("broker"), "c1", 1);
         Channel publisher = publisher();
         publish(publisher, "once.7", "m1");
-        Seen first = next(seen);
+        Delivery first = next(seen);
         first.channel.basicNack(first.envelope.getDeliveryTag(), false, true);
-        Seen again = next(seen);
+        Delivery again = next(seen);
         assertTrue(again.envelope.isRedeliver());
         again.channel.basicAck(again.envelope.getDeliveryTag(), false);
         assertEquals("ack 1", next());
     }
 
     @Test
-    void whatCannotBeTakenSaysWhyAndIsHarmlessToPublishAgain() throws Exception {
-        world = new AmqpFixture(folder).start();
+    void returnsMessagesThatCannotBeAcceptedWithAReason() throws Exception {
+        fixture = new AmqpFixture(folder).start();
         Channel publisher = publisher();
         publish(publisher, "order.99", "m1");
         publish(publisher, "elsewhere", "m2");
@@ -218,7 +221,7 @@
         assertEquals("ack 7", next());
     }
 
-    private void acknowledging(String tag, int prefetch) throws Exception {
+    private void startAcknowledgingConsumer(String tag, int prefetch) throws Exception {
         Channel channel = channel("broker");
         channel.basicQos(prefetch);
         channel.basicConsume(AmqpFixture.QUEUE, false, tag, new DefaultConsumer(channel) {
@@ -231,17 +234,17 @@
     }
 
     @Test
-    void aConsumerThatStopsAcknowledgingIsCutOffWhileOthersGoOn() throws Exception {
-        world = new AmqpFixture(folder, "limits: {ack_within: 2s}\n").start();
+    void closesTheChannelOfAConsumerThatStopsAcknowledging() throws Exception {
+        fixture = new AmqpFixture(folder, "limits: {ack_within: 2s}\n").start();
         Channel silent = channel("broker");
-        BlockingQueue<Seen> kept = consumer(silent, "silent", 5);
-        acknowledging("good", 50);
+        BlockingQueue<Delivery> kept = consumer(silent, "silent", 5);
+        startAcknowledgingConsumer("good", 50);
         Channel publisher = publisher();
         for (int i = 1; i <= 300; i++) {
             publish(publisher, "order.7", "m" + i);
         }
         next(kept);
-        // How many the silent one had out when their time was over hangs on how fast this machine is.
+        // How many deliveries the silent consumer had in flight at the timeout depends on the speed of the machine.
         List<String> ends = new ArrayList<>();
         while (ends.size() < 300) {
             String end = next();
@@ -250,18 +253,22 @@
                 ends.add(end);
             }
         }
-        assertTrue(ends.stream().filter(e -> e.startsWith("ack")).count() >= 200, "others are delivered, by the other one");
-        Stub.await("the silent one's channel is closed", () -> !silent.isOpen());
+        assertTrue(ends.stream().filter(e -> e.startsWith("ack")).count() >= 200,
+                "the other messages are delivered by the other consumer");
+        Stub.await("the channel of the silent consumer is closed", () -> !silent.isOpen());
         assertEquals(406, ((AMQP.Channel.Close) silent.getCloseReason().getReason()).getReplyCode());
-        assertTrue(kept.size() < 50, "it got " + kept.size() + " while it was silent");
+        assertTrue(kept.size() < 50, "it got " + kept.size() + " messages while it was silent");
     }
 
-    /** What a closed channel had out may have run: one that must not run twice is given up, a keyed one goes elsewhere. */
+    /**
+     * Deliveries that a closed channel has not acknowledged may have run: an unsafe message fails, a keyed one is delivered to
+     * another consumer.
+     */
     @Test
-    void aChannelClosedBetweenDeliveryAndAckMayHaveRun() throws Exception {
-        world = new AmqpFixture(folder).start();
+    void treatsUnacknowledgedDeliveriesOfAClosedChannelAsPossiblyRun() throws Exception {
+        fixture = new AmqpFixture(folder).start();
         Channel publisher = publisher();
-        BlockingQueue<Seen> seen = consumer(channel("broker"), "c", 10);
+        BlockingQueue<Delivery> seen = consumer(channel("broker"), "c", 10);
         publish(publisher, "once.7", "m1");
         next(seen).channel.close();
         assertEquals("return 541 failed m1", next());
@@ -269,24 +276,24 @@
         seen = consumer(channel("broker"), "c", 10);
         publish(publisher, "order.7", "m2");
         next(seen).channel.close();
-        BlockingQueue<Seen> other = consumer(channel("broker"), "d", 10);
-        Seen again = next(other);
+        BlockingQueue<Delivery> other = consumer(channel("broker"), "d", 10);
+        Delivery again = next(other);
         assertEquals("m2 true", again.properties.getMessageId() + " " + again.envelope.isRedeliver());
         again.channel.basicAck(again.envelope.getDeliveryTag(), false);
         assertEquals("ack 2", next());
     }
 
     @Test
-    void aConsumerOfALowerPriorityStandsBy() throws Exception {
-        world = new AmqpFixture(folder).start();
-        BlockingQueue<Seen> low = consumer(channel("broker"), "low", 10);
+    void deliversToTheConsumerOfHighestPriority() throws Exception {
+        fixture = new AmqpFixture(folder).start();
+        BlockingQueue<Delivery> low = consumer(channel("broker"), "low", 10);
         Channel high = channel("broker");
-        BlockingQueue<Seen> first = new LinkedBlockingQueue<>();
+        BlockingQueue<Delivery> first = new LinkedBlockingQueue<>();
         high.basicConsume(AmqpFixture.QUEUE, false, "high", false, false, Map.of("x-priority", 3), new DefaultConsumer(high) {
             @Override
             public void handleDelivery(String tag, Envelope envelope, AMQP.BasicProperties properties, byte[] body)
                     throws IOException {
-                first.add(new Seen(high, envelope, properties, ""));
+                first.add(new Delivery(high, envelope, properties, ""));
                 high.basicAck(envelope.getDeliveryTag(), false);
             }
         });
@@ -294,74 +301,74 @@
         for (int i = 1; i <= 20; i++) {
             publish(publisher, "order.7", "m" + i);
         }
-        assertTrue(publisher.waitForConfirms(TimeUnit.SECONDS.toMillis(SOON_S)));
+        assertTrue(publisher.waitForConfirms(TimeUnit.SECONDS.toMillis(TIMEOUT_S)));
         assertEquals(20, first.size());
         assertTrue(low.isEmpty());
         high.basicCancel("high");
         publish(publisher, "order.7", "m21");
-        Seen last = next(low);
+        Delivery last = next(low);
         last.channel.basicAck(last.envelope.getDeliveryTag(), true);
-        assertTrue(publisher.waitForConfirms(TimeUnit.SECONDS.toMillis(SOON_S)));
+        assertTrue(publisher.waitForConfirms(TimeUnit.SECONDS.toMillis(TIMEOUT_S)));
     }
 
     @Test
-    void whatIsNotAcknowledgedInItsTimeMayHaveRun() throws Exception {
-        world = new AmqpFixture(folder, "", 2000).start();
-        BlockingQueue<Seen> seen = consumer(channel("broker"), "silent", 10);
+    void failsAnUnsafeMessageThatIsNotAcknowledgedInTime() throws Exception {
+        fixture = new AmqpFixture(folder, "", 2000).start();
+        BlockingQueue<Delivery> seen = consumer(channel("broker"), "silent", 10);
         Channel publisher = publisher();
         publish(publisher, "once.7", "m1");
         next(seen);
-        acknowledging("good", 50);
+        startAcknowledgingConsumer("good", 50);
         assertEquals("return 541 failed m1", next());
         assertEquals("nack 1", next());
     }
 
     @Test
-    void anIdThatComesOverHttpAndAmqpAtOnceIsOneMessage() throws Exception {
-        world = new AmqpFixture(folder).start();
-        BlockingQueue<Seen> seen = consumer(channel("broker"), "c", 10);
+    void acceptsOneMessagePerIdOverHttpAndAmqp() throws Exception {
+        fixture = new AmqpFixture(folder).start();
+        BlockingQueue<Delivery> seen = consumer(channel("broker"), "c", 10);
         Channel publisher = publisher();
         for (int i = 1; i <= 20; i++) {
             boolean httpFirst = i % 2 == 0;
             if (httpFirst) {
-                assertEquals(202, handIn("m" + i));
+                assertEquals(202, submitByHttp("m" + i));
             }
             publish(publisher, "order.7", "m" + i);
             if (!httpFirst) {
-                assertEquals(202, handIn("m" + i));
+                assertEquals(202, submitByHttp("m" + i));
             }
-            Seen one = next(seen);
+            Delivery one = next(seen);
             assertEquals("m" + i, one.properties.getMessageId());
             one.channel.basicAck(one.envelope.getDeliveryTag(), false);
             assertEquals("ack " + i, next());
-            assertEquals(202, handIn("m" + i), "delivered a moment ago");
+            assertEquals(202, submitByHttp("m" + i), "accepted as a duplicate after its delivery");
         }
-        assertTrue(seen.isEmpty(), "one of them came twice");
+        assertTrue(seen.isEmpty(), "a message was delivered twice");
     }
 
-    private int handIn(String id) throws Exception {
+    private int submitByHttp(String id) throws Exception {
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:"
-                + world.daemon.addresses().get(0).getPort() + "/order")).header("X-Call-Id", id)
+                + fixture.daemon.addresses().get(0).getPort() + "/order")).header("X-Call-Id", id)
                 .header("X-Caller", "desk").header("X-Budget-Ms", "5000").header("X-Envelope", "dest=7")
                 .header("Idempotency-Key", "key-" + id).POST(HttpRequest.BodyPublishers.ofString("body")).build();
         return HttpClient.newHttpClient().send(request, HttpResponse.BodyHandlers.discarding()).statusCode();
     }
 
-    /** What is out has its end before the connections of both sides are closed with 320. */
+    /** Messages in flight get their final answer before publisher and consumer connections are closed with 320. */
     @Test
-    void aDrainEndsWhatIsOutBeforeItClosesConnections() throws Exception {
-        world = new AmqpFixture(folder).start();
-        BlockingQueue<Seen> seen = consumer(channel("broker"), "c", 10);
+    void drainSettlesMessagesInFlightBeforeClosingConnections() throws Exception {
+        fixture = new AmqpFixture(folder).start();
+        BlockingQueue<Delivery> seen = consumer(channel("broker"), "c", 10);
         Channel publisher = publisher();
         publish(publisher, "once.7", "m1");
-        Seen out = next(seen);
-        Thread drain = new Thread(world.daemon::drain);
+        Delivery out = next(seen);
+        Thread drain = new Thread(fixture.daemon::drain);
         drain.start();
-        Connection idle = world.connect("desk");
+        Connection idle = fixture.connect("desk");
         connections.add(idle);
-        Stub.await("one with nothing out is closed", () -> !idle.isOpen());
+        Stub.await("a connection without messages in flight is closed", () -> !idle.isOpen());
         assertEquals(320, ((AMQP.Connection.Close) idle.getCloseReason().getReason()).getReplyCode());
-        assertTrue(heard.isEmpty() && publisher.isOpen() && out.channel.isOpen());
+        assertTrue(received.isEmpty() && publisher.isOpen() && out.channel.isOpen());
         out.channel.basicAck(out.envelope.getDeliveryTag(), false);
         assertEquals("ack 1", next());
         Stub.await("both are closed", () -> !publisher.isOpen() && !out.channel.isOpen());
@@ -369,13 +376,13 @@
         drain.join();
     }
 
-    /** Both names and secrets by TLS, and a certificate in place of a secret. */
+    /** Users log in over TLS with name and secret, or with a certificate instead of a secret. */
     @Test
-    void aCertificateNamesItsUser() throws Exception {
+    void logsInByCertificate() throws Exception {
         Certificates certificates = new Certificates(folder);
-        world = new AmqpFixture(folder, "tls: {listen: \"127.0.0.1:0\", certificate: server.pem, key: server.key, "
+        fixture = new AmqpFixture(folder, "tls: {listen: \"127.0.0.1:0\", certificate: server.pem, key: server.key, "
                 + "clients: ca.pem}\n").start();
-        int port = world.daemon.amqpAddresses().get(1).getPort();
+        int port = fixture.daemon.amqpAddresses().get(1).getPort();
         ConnectionFactory factory = AmqpFixture.factory("nobody", port);
         factory.setSaslConfig(DefaultSaslConfig.EXTERNAL);
         factory.useSslProtocol(certificates.client("desk"));
@@ -384,21 +391,21 @@
         Channel channel = connection.createChannel();
         channel.confirmSelect();
         publish(channel, "order.1", "m1");
-        assertTrue(channel.waitForConfirms(TimeUnit.SECONDS.toMillis(SOON_S)));
+        assertTrue(channel.waitForConfirms(TimeUnit.SECONDS.toMillis(TIMEOUT_S)));
         factory.useSslProtocol(certificates.client("stranger"));
         assertThrows(IOException.class, factory::newConnection);
         ConnectionFactory plain = AmqpFixture.factory("desk", port);
         plain.useSslProtocol(certificates.client("stranger"));
         connections.add(plain.newConnection());
-        ConnectionFactory open = AmqpFixture.factory("desk", world.address().getPort());
+        ConnectionFactory open = AmqpFixture.factory("desk", fixture.address().getPort());
         open.setSaslConfig(DefaultSaslConfig.EXTERNAL);
-        assertThrows(IOException.class, open::newConnection, "no certificate, no name");
+        assertThrows(IOException.class, open::newConnection, "without TLS there is no certificate to log in with");
     }
 
     @Test
-    void otherMechanismsAndHostsAreAsTheFileSays() throws Exception {
-        world = new AmqpFixture(folder, "virtual_hosts: [/, desks]\n").start();
-        ConnectionFactory factory = AmqpFixture.factory("desk", world.address().getPort());
+    void supportsAmqplainAndConfiguredVirtualHosts() throws Exception {
+        fixture = new AmqpFixture(folder, "virtual_hosts: [/, desks]\n").start();
+        ConnectionFactory factory = AmqpFixture.factory("desk", fixture.address().getPort());
         factory.setVirtualHost("desks");
         factory.setSaslConfig(mechanisms -> new SaslMechanism() {
             @Override
@@ -408,7 +415,7 @@
 
             @Override
             public LongString handleChallenge(LongString challenge, String username, String password) {
-                // A table without its length: name, type, length and octets of each field.
+                // An AMQP table without its length: name, type, length and bytes of each field.
                 ByteArrayOutputStream table = new ByteArrayOutputStream();
                 field(table, "LOGIN", username);
                 field(table, "PASSWORD", password);
@@ -418,7 +425,7 @@
         connections.add(factory.newConnection());
         factory.setPassword("wrong");
         assertThrows(AuthenticationFailureException.class, factory::newConnection);
-        ConnectionFactory elsewhere = AmqpFixture.factory("desk", world.address().getPort());
+        ConnectionFactory elsewhere = AmqpFixture.factory("desk", fixture.address().getPort());
         elsewhere.setVirtualHost("nowhere");
         IOException refused = assertThrows(IOException.class, elsewhere::newConnection);
         assertTrue(refused.getCause().getMessage().contains("530"), refused.getCause().getMessage());
@@ -432,39 +439,39 @@
         table.writeBytes(value.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** Who has too much unsettled hears so, and is read again when it is settled. */
+    /** A publisher with too many unsettled messages is notified and read no further until they are settled. */
     @Test
-    void aPublisherHearsThatItIsPaused() throws Exception {
-        world = new AmqpFixture(folder, "limits: {unsettled_each: 10}\n").start();
-        BlockingQueue<Seen> seen = consumer(channel("broker"), "c", 50);
+    void notifiesAPublisherThatItIsBlocked() throws Exception {
+        fixture = new AmqpFixture(folder, "limits: {unsettled_each: 10}\n").start();
+        BlockingQueue<Delivery> seen = consumer(channel("broker"), "c", 50);
         Channel publisher = publisher();
         BlockingQueue<String> blocks = new LinkedBlockingQueue<>();
         publisher.getConnection().addBlockedListener(reason -> blocks.add("blocked"), () -> blocks.add("unblocked"));
         for (int i = 1; i <= 10; i++) {
             publish(publisher, "order.7", "m" + i);
         }
-        assertEquals("blocked", blocks.poll(SOON_S, TimeUnit.SECONDS));
+        assertEquals("blocked", blocks.poll(TIMEOUT_S, TimeUnit.SECONDS));
         for (int i = 1; i <= 10; i++) {
-            Seen one = next(seen);
+            Delivery one = next(seen);
             one.channel.basicAck(one.envelope.getDeliveryTag(), false);
         }
-        assertEquals("unblocked", blocks.poll(SOON_S, TimeUnit.SECONDS));
-        assertTrue(publisher.waitForConfirms(TimeUnit.SECONDS.toMillis(SOON_S)));
+        assertEquals("unblocked", blocks.poll(TIMEOUT_S, TimeUnit.SECONDS));
+        assertTrue(publisher.waitForConfirms(TimeUnit.SECONDS.toMillis(TIMEOUT_S)));
     }
 
-    /** Where the operator allows it: delivered in silence, and what is not comes back all the same. */
+    /** Without confirms, if the operator allows it: delivered messages get no answer, others are still returned. */
     @Test
-    void withoutConfirmsOnlyWhatIsNotDeliveredIsTold() throws Exception {
-        world = new AmqpFixture(folder, "unconfirmed: true\n").start();
+    void returnsOnlyUndeliveredMessagesWithoutConfirms() throws Exception {
+        fixture = new AmqpFixture(folder, "unconfirmed: true\n").start();
         Channel publisher = channel("desk");
-        publisher.addReturnListener(back -> heard.add(back.getReplyCode() + " " + back.getProperties().getMessageId()));
+        publisher.addReturnListener(back -> received.add(back.getReplyCode() + " " + back.getProperties().getMessageId()));
         publish(publisher, "order.1", "m1");
         publish(publisher, "elsewhere", "m2");
         assertEquals("312 m2", next());
-        Stub.await("it is delivered", () -> world.world.ledger().runs("key-m1").size() == 1);
-        Stub.await("nothing of it is unsettled", () -> world.report().stream().allMatch(c -> c.unconfirmed() == 0));
+        Stub.await("it is delivered", () -> fixture.world.ledger().runs("key-m1").size() == 1);
+        Stub.await("no message of it is unsettled", () -> fixture.report().stream().allMatch(c -> c.unconfirmed() == 0));
         publisher.confirmSelect();
         publish(publisher, "order.1", "m3");
-        assertTrue(publisher.waitForConfirms(TimeUnit.SECONDS.toMillis(SOON_S)));
+        assertTrue(publisher.waitForConfirms(TimeUnit.SECONDS.toMillis(TIMEOUT_S)));
     }
 }
--- a/src/test/java/slipfield/daemon/Certificates.java
+++ b/src/test/java/slipfield/daemon/Certificates.java
@@ -25,7 +25,7 @@
 import org.bouncycastle.openssl.jcajce.JcaPKCS8Generator;
 import org.bouncycastle.operator.jcajce.JcaContentSignerBuilder;
 
-/** An authority of the tests' own, and what it certifies: files for a server, contexts for clients. */
+/** A certificate authority for tests, with certificate files for a server and TLS contexts for clients. */
 final class Certificates {
     private static final char[] NO_PASSWORD = new char[0];
 
@@ -33,7 +33,7 @@
     private final X509Certificate root;
     private long serial = 1;
 
-    /** Writes {@code ca.pem}, {@code server.pem} and {@code server.key} there. */
+    /** Writes {@code ca.pem}, {@code server.pem} and {@code server.key} into this folder. */
     Certificates(Path folder) throws Exception {
         root = certificate("authority", authority, true);
         KeyPair server = keys();
@@ -48,24 +48,24 @@
         return generator.generateKeyPair();
     }
 
-    private X509Certificate certificate(String name, KeyPair of, boolean signs) throws Exception {
+    private X509Certificate certificate(String name, KeyPair keyPair, boolean isAuthority) throws Exception {
         Instant now = Instant.now();
         JcaX509v3CertificateBuilder builder = new JcaX509v3CertificateBuilder(new X500Name("CN=authority"),
                 BigInteger.valueOf(serial++), Date.from(now.minus(1, ChronoUnit.DAYS)),
-                Date.from(now.plus(1, ChronoUnit.DAYS)), new X500Name("CN=" + name), of.getPublic());
-        builder.addExtension(Extension.basicConstraints, true, new BasicConstraints(signs));
+                Date.from(now.plus(1, ChronoUnit.DAYS)), new X500Name("CN=" + name), keyPair.getPublic());
+        builder.addExtension(Extension.basicConstraints, true, new BasicConstraints(isAuthority));
         return new JcaX509CertificateConverter().getCertificate(builder.build(new JcaContentSignerBuilder("SHA256withECDSA")
                 .build(authority.getPrivate())));
     }
 
-    private static void write(Path file, Object what) throws IOException {
+    private static void write(Path file, Object content) throws IOException {
         try (Writer writer = Files.newBufferedWriter(file); JcaPEMWriter pem = new JcaPEMWriter(writer)) {
-            pem.writeObject(what instanceof PrivateKey key
-                    ? new JcaPKCS8Generator(key, null) : what);
+            pem.writeObject(content instanceof PrivateKey key
+                    ? new JcaPKCS8Generator(key, null) : content);
         }
     }
 
-    /** A client's, whose certificate has this common name. */
+    /** The TLS context of a client whose certificate has this common name. */
     SSLContext client(String name) throws Exception {
         KeyPair own = keys();
         KeyStore keys = KeyStore.getInstance("PKCS12");
--- a/src/test/java/slipfield/daemon/DrainLogTest.java
+++ b/src/test/java/slipfield/daemon/DrainLogTest.java
@@ -11,20 +11,20 @@
 import slipfield.standin.Stub;
 import slipfield.standin.TrialWorld;
 
-/** What a sender says in its last seconds, as a process. */
+/** The log of a sender process during its shutdown. */
 @Timeout(120)
 class DrainLogTest {
     @TempDir
     private Path folder;
 
-    /** Guards against the JDK's logging, which takes its handlers away as soon as a process is told to end. */
+    /** Guards against log lines that are lost because the JDK's logging removes its handlers as soon as a shutdown begins. */
     @Test
-    void whatADrainLeavesIsInTheLog() throws Exception {
+    void logsTheEndOfADrain() throws Exception {
         try (TrialWorld world = new TrialWorld(folder, new TrialWorld.Size(1, 1000, 1000, 3000, 100, 10));
                 SenderProcess sender = new SenderProcess(folder, List.of(), SenderProcess.SMALL)) {
             sender.start();
             sender.terminate();
-            Stub.await("the line of its end", () -> log(sender).contains(" sender.ended name=sender-0 held=0 owed=0"));
+            Stub.await("the last log line", () -> log(sender).contains(" sender.ended name=sender-0 held=0 owed=0"));
         }
     }
 
--- a/src/test/java/slipfield/daemon/MembersTest.java
+++ b/src/test/java/slipfield/daemon/MembersTest.java
@@ -33,7 +33,7 @@
 import slipfield.standin.TrialWorld;
 import slipfield.standin.Venue;
 
-/** A whole sender whose endpoints come from Consul, on stand-ins. */
+/** Tests a complete sender whose endpoints come from Consul; agents, venues and clients are stand-ins. */
 class MembersTest {
     private static final String RULES = "]\nrules: {steady: 1ms, most_steady: 1ms, window: 0s}";
     private static final String CONSUL_ONLY = "precedence: [consul" + RULES;
@@ -57,10 +57,10 @@
     private void start(String membership) throws Exception {
         world = new TrialWorld(folder, new TrialWorld.Size(4, 1e6, 1000, 8000, 500, 64), Optional.of(membership));
         Files.createDirectories(folder.resolve("state"));
-        life();
+        startDaemon();
     }
 
-    /** The sender as a process of its own, which can be killed and started again at its port. */
+    /** Runs the sender as a separate process, which can be killed and started again on the same port. */
     private SenderProcess startProcess() throws Exception {
         world = new TrialWorld(folder, new TrialWorld.Size(4, 1e6, 1000, 8000, 500, 64), Optional.of(CONSUL_ONLY));
         SenderProcess process = new SenderProcess(folder, List.of(), SenderProcess.SMALL);
@@ -68,7 +68,7 @@
         return process;
     }
 
-    private void life() throws Exception {
+    private void startDaemon() throws Exception {
         sender = new Daemon(Config.read(environment()));
         sender.start();
     }
@@ -83,30 +83,30 @@
 
     private void orders() throws Exception {
         world.desks().atRate(200);
-        flows();
+        awaitCalls();
     }
 
     private long asked() {
         return world.venues().stream().mapToLong(Venue::asked).sum();
     }
 
-    /** Orders go on reaching venues. */
-    private void flows() throws Exception {
+    /** Waits until venues have received 40 more calls. */
+    private void awaitCalls() throws Exception {
         long before = asked();
-        Stub.await("orders flow", () -> asked() > before + 40);
+        Stub.await("venues receive calls", () -> asked() > before + 40);
     }
 
-    /** The venue that the module likes best now. */
+    /** The venue that receives most calls at present. */
     private Venue busiest() throws Exception {
         Map<Venue, Long> before = new HashMap<>();
         world.venues().forEach(v -> before.put(v, v.asked()));
-        flows();
+        awaitCalls();
         return world.venues().stream().max(Comparator.comparingLong(v -> v.asked() - before.get(v))).orElseThrow();
     }
 
-    /** It gets no new one, while the others get many. */
-    private void left(Venue out) throws Exception {
-        Stub.await(out.id() + " is left", () -> {
+    /** Waits until this venue receives no call while the others receive 30. */
+    private void awaitNoCalls(Venue out) throws Exception {
+        Stub.await(out.id() + " receives no calls", () -> {
             long before = out.asked();
             long all = asked();
             while (asked() < all + 30) {
@@ -116,7 +116,7 @@
         });
     }
 
-    /** What the kept view says of this venue, once it says so. */
+    /** Waits until the stored view of the members gives this reason for the state of the venue. */
     private void awaitWhy(Venue venue, String why) throws Exception {
         String address = "127.0.0.1:" + venue.address().getPort();
         Stub.await(venue.id() + " is " + why, () -> {
@@ -129,7 +129,7 @@
         });
     }
 
-    /** The id under which the core knows what is at this venue's address. */
+    /** The id under which the core knows the endpoint at this venue's address. */
     private String idAt(Venue venue) throws Exception {
         awaitWhy(venue, "STEADY");
         String address = "127.0.0.1:" + venue.address().getPort();
@@ -149,7 +149,7 @@
         }
     }
 
-    private void everyOrderEnds() throws Exception {
+    private void assertEveryOrderIsAnswered() throws Exception {
         world.desks().stop();
         world.awaitEnds(20_000);
         Ledger.Account account = world.ledger().account();
@@ -158,141 +158,141 @@
     }
 
     @Test
-    void criticalAndMaintenanceAreLeftAndComeBack() throws Exception {
+    void stopsUsingCriticalAndMaintainedEndpointsUntilTheyRecover() throws Exception {
         start(BOTH);
         orders();
         Venue first = busiest();
         world.consul().check("service:" + first.id(), "critical");
-        left(first);
+        awaitNoCalls(first);
         awaitWhy(first, "CRITICAL");
         world.consul().check("service:" + first.id(), "warning");
         awaitWhy(first, "STEADY");
         Venue next = busiest();
         world.consul().maintenance(next.id(), true, "patch");
-        left(next);
+        awaitNoCalls(next);
         awaitWhy(next, "DRAINING");
         world.consul().maintenance(next.id(), false, "");
         awaitWhy(next, "STEADY");
-        everyOrderEnds();
+        assertEveryOrderIsAnswered();
     }
 
     @Test
-    void whatIsInConsulAloneIsUsedAndLeftWhenItIsTakenOff() throws Exception {
+    void usesEndpointsOfConsulUntilTheyAreDeregistered() throws Exception {
         start(CONSUL_ONLY);
         orders();
         Venue out = busiest();
         world.consul().deregister(out.id());
-        left(out);
+        awaitNoCalls(out);
         awaitWhy(out, "GONE");
-        everyOrderEnds();
+        assertEveryOrderIsAnswered();
     }
 
     @Test
-    void withEveryAgentDeadFromTheStartTheLastKnownViewServes() throws Exception {
+    void usesTheStoredViewWhenAllAgentsAreDown() throws Exception {
         try (SenderProcess process = startProcess()) {
             orders();
             awaitWhy(world.venues().get(3), "STEADY");
             process.kill();
             world.agents().forEach(ConsulAgent::close);
             process.start();
-            flows();
-            Stub.await("its trouble is told", () -> view().path("sources").path("consul").path("trouble").asText()
-                    .contains("no whole answer"));
+            awaitCalls();
+            Stub.await("the failure of the source is reported", () -> view().path("sources").path("consul").path("trouble")
+                    .asText().contains("no whole answer"));
             assertEquals(4, view().path("members").size());
-            everyOrderEnds();
+            assertEveryOrderIsAnswered();
         }
     }
 
     @Test
-    void agentsThatAllAnswerWithNothingEmptyNoPool() throws Exception {
+    void keepsEndpointsWhenAllAgentsReportNone() throws Exception {
         start(CONSUL_ONLY);
         orders();
         world.agents().forEach(a -> a.fault(ConsulAgent.Fault.EMPTY));
         world.consul().check("service:venue-3", "warning");
         awaitWhy(world.venues().get(0), "HELD");
-        flows();
+        awaitCalls();
         assertEquals(1, view().path("held").size());
         world.agents().forEach(a -> a.fault(ConsulAgent.Fault.NONE));
         world.consul().check("service:venue-3", "passing");
         awaitWhy(world.venues().get(0), "STEADY");
-        everyOrderEnds();
+        assertEveryOrderIsAnswered();
     }
 
     @Test
-    void theSameIdAtAnotherAddressWithCallsOutLosesAndDoublesNothing() throws Exception {
+    void losesAndDuplicatesNothingWhenAnIdMovesToAnotherAddress() throws Exception {
         start(CONSUL_ONLY);
         orders();
         Venue moving = busiest();
         String known = idAt(moving);
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        // At an address that the sender has never seen: one that it knows would keep its own id.
+        // The sender must not know the new address yet: a known address keeps the id that it has.
         try (Venue target = new Venue(group, "target", world.ledger(), 1e6, 1000)) {
             moving.mood(Venue.Mood.LATE);
             long before = moving.asked();
-            Stub.await("a call is out", () -> moving.asked() > before);
+            Stub.await("a call is in flight", () -> moving.asked() > before);
             world.consul().register("venue", moving.id(), "127.0.0.1", target.address().getPort(), List.of(),
                     Map.of("destination", "1"));
-            left(moving);
-            // What is still out at the old address must not be put down to the new one.
+            awaitNoCalls(moving);
+            // The result of a call in flight to the old address must not count for the new one.
             assertNotEquals(known, idAt(target));
             moving.mood(Venue.Mood.UP);
-            everyOrderEnds();
+            assertEveryOrderIsAnswered();
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         }
     }
 
     @Test
-    void theSenderItselfIsFoundInConsulUntilItEnds() throws Exception {
+    void registersTheSenderInConsulUntilItDrains() throws Exception {
         start(BOTH);
         Stub.await("it is registered", () -> world.consul().status("slipfield").equals("passing"));
         sender.drain();
-        Stub.await("it is taken off", () -> world.consul().status("slipfield").isEmpty());
+        Stub.await("it is deregistered", () -> world.consul().status("slipfield").isEmpty());
     }
 
-    /** Netty's loop may end with its channels open: then the next life finds its port taken. */
+    /** Guards against an event loop of Netty that ends with open channels: the port would be in use at the next start. */
     @Test
-    void aSenderThatIsKilledLetsGoOfItsPort() throws Exception {
+    void releasesThePortWhenKilled() throws Exception {
         start(CONSUL_ONLY);
         world.desks().atRate(200);
-        for (int lives = 0; lives < 15; lives++) {
+        for (int restart = 0; restart < 15; restart++) {
             sender.kill();
-            life();
+            startDaemon();
         }
-        flows();
-        everyOrderEnds();
+        awaitCalls();
+        assertEveryOrderIsAnswered();
     }
 
     @Test
-    void aViewThatIsDamagedIsPassedOver() throws Exception {
+    void ignoresADamagedStoredView() throws Exception {
         try (SenderProcess process = startProcess()) {
             orders();
             process.kill();
             Files.writeString(folder.resolve("state").resolve("members.json"), "{\"sources\":{\"consul\":{\"inst");
             process.start();
-            flows();
-            everyOrderEnds();
+            awaitCalls();
+            assertEveryOrderIsAnswered();
         }
     }
 
     @Test
-    void aFileThatIsWrongIsNamedWithTheMend() throws Exception {
+    void reportsWhereAFileIsInvalidAndHowToCorrectIt() throws Exception {
         start(BOTH);
         sender.kill();
         sender = null;
-        wrong("precedence: [consol]", ":1:13: precedence is to name sources once each");
-        wrong("precedence: [consul]", ":1:1: consul is to be in precedence and have its part, or neither");
-        wrong("precedence: [platform]\nrules:\n  most_shrink: 2", ":3:16: rules.most_shrink is a share from 0 to 1");
-        wrong("precedence: [platform]\nrules:\n  steady: 2m\n  most_steady: 1m",
+        assertRejected("precedence: [consol]", ":1:13: precedence is to name sources once each");
+        assertRejected("precedence: [consul]", ":1:1: consul is to be in precedence and have its part, or neither");
+        assertRejected("precedence: [platform]\nrules:\n  most_shrink: 2", ":3:16: rules.most_shrink is a share from 0 to 1");
+        assertRejected("precedence: [platform]\nrules:\n  steady: 2m\n  most_steady: 1m",
                 ":4:16: rules.most_steady is a time from 2m to 24h");
-        wrong("precedence: [file]\nendpoints:\n  - id: a\n    destination: 1", ":3:5: endpoints.address is missing");
-        wrong("{\"precedence\":[\"platform\"],\n\"rules\":{\"steady_ms\":5}}",
+        assertRejected("precedence: [file]\nendpoints:\n  - id: a\n    destination: 1", ":3:5: endpoints.address is missing");
+        assertRejected("{\"precedence\":[\"platform\"],\n\"rules\":{\"steady_ms\":5}}",
                 ":2:10: rules knows no field 'steady_ms'; did you mean 'steady'? (this looks like the JSON form of before; "
                 + "convert it by `bin/slipfield convert ");
-        wrong("// of before\n{\"precedence\":[\"platform\"]}", "bin/slipfield convert ");
+        assertRejected("// of before\n{\"precedence\":[\"platform\"]}", "bin/slipfield convert ");
     }
 
-    private void wrong(String text, String named) throws Exception {
+    private void assertRejected(String text, String named) throws Exception {
         Files.writeString(folder.resolve("members.yaml"), text);
         String message = assertThrows(BadInput.class, () -> new Daemon(Config.read(environment())).start())
                 .getMessage();
@@ -300,14 +300,14 @@
     }
 
     @Test
-    void withoutTheFileNoClassOfItIsLoaded() throws Exception {
+    void loadsNoMembershipOrAmqpClassWithoutItsFile() throws Exception {
         world = new TrialWorld(folder, new TrialWorld.Size(1, 1e6, 0, 8000, 500, 64));
         Path log = folder.resolve("classes.log");
         try (SenderProcess process = new SenderProcess(folder, List.of(),
                 List.of("-Xmx48m", "-Xlog:class+load:file=" + log))) {
             process.start();
             world.desks().atRate(100);
-            flows();
+            awaitCalls();
         }
         String loaded = Files.readString(log);
         assertTrue(loaded.contains("slipfield.directory.Discovery "));
--- a/src/test/java/slipfield/daemon/RawPeer.java
+++ b/src/test/java/slipfield/daemon/RawPeer.java
@@ -13,7 +13,7 @@
 import slipfield.amqp.codec.Method;
 import slipfield.amqp.codec.MethodId;
 
-/** A client of AMQP that sends what a good one can't, frame by frame, and reads one frame after the other. */
+/** An AMQP client that sends and reads single frames, also those that a correct client would not send. */
 final class RawPeer implements AutoCloseable {
     static final int FRAME_MAX = 8192;
     private static final int READ_MS = 20_000;
@@ -33,7 +33,7 @@
         in = new EmbeddedChannel(decoder);
     }
 
-    /** Opens a connection for this user, with channel 1. */
+    /** Opens a connection as this user, and channel 1 on it. */
     static RawPeer open(InetSocketAddress address, String user, int heartbeatSeconds) throws IOException {
         RawPeer peer = new RawPeer(address);
         peer.login(user, AmqpFixture.PASSWORD);
@@ -52,27 +52,27 @@
         send(0, MethodId.CONNECTION_START_OK, Map.of(), "PLAIN", "\0" + user + "\0" + password, "en_US");
     }
 
-    byte[] octets(Frame frame) {
+    byte[] encode(Frame frame) {
         out.writeOutbound(frame);
         ByteBuf all = Unpooled.buffer();
         for (ByteBuf part = out.readOutbound(); part != null; part = out.readOutbound()) {
             all.writeBytes(part);
             part.release();
         }
-        byte[] octets = new byte[all.readableBytes()];
-        all.readBytes(octets);
-        return octets;
+        byte[] bytes = new byte[all.readableBytes()];
+        all.readBytes(bytes);
+        return bytes;
     }
 
     void send(Frame frame) throws IOException {
-        socket.getOutputStream().write(octets(frame));
+        socket.getOutputStream().write(encode(frame));
     }
 
     void send(int channel, MethodId id, Object... arguments) throws IOException {
         send(new Frame.OfMethod(channel, Method.of(id, arguments)));
     }
 
-    /** The next frame that is no heartbeat, or null at the end of the connection. */
+    /** The next frame other than a heartbeat, or null if the connection was closed. */
     Frame next() throws IOException {
         byte[] read = new byte[8192];
         for (;;) {
@@ -90,7 +90,7 @@
         }
     }
 
-    /** Reads until this method comes. */
+    /** Reads frames until this method arrives. Throws if the connection is closed before. */
     Method await(MethodId id) throws IOException {
         for (Frame frame = next(); frame != null; frame = next()) {
             if (frame instanceof Frame.OfMethod m && m.method().id() == id) {
@@ -100,7 +100,7 @@
                 throw new IOException("closed: " + m.method().text("reply-text"));
             }
         }
-        throw new IOException("closed while " + id + " was awaited");
+        throw new IOException("closed while waiting for " + id);
     }
 
     @Override
--- a/src/test/java/slipfield/daemon/SenderTest.java
+++ b/src/test/java/slipfield/daemon/SenderTest.java
@@ -40,7 +40,7 @@
 import slipfield.policy.DeliveryPolicy;
 import slipfield.standin.Stub;
 
-/** The whole sender over loopback sockets: clients, two endpoints of one destination, and the agent. */
+/** Tests a complete sender over loopback sockets, with clients, two endpoints of one destination, and an agent. */
 class SenderTest {
     private static final int MAX_OPEN = 5;
 
@@ -80,7 +80,7 @@
         agent.close();
     }
 
-    // ---- the world ----
+    // ---- helpers ----
 
     private void agent(Stub.Message request, Socket socket) throws Exception {
         if (!agentUp) {
@@ -97,7 +97,7 @@
         }
         String known = request.line().contains("after=") ? request.line().replaceAll(".*after=(\\d+).*", "$1")
                 : "";
-        Stub.await("something new on the list", () -> agentUp && !known.equals(generation()));
+        Stub.await("a new version of the endpoint list", () -> agentUp && !known.equals(generation()));
         String list = list();
         Stub.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
     }
@@ -149,7 +149,7 @@
         address = sender.start();
     }
 
-    private void killAndStart() throws Exception {
+    private void restart() throws Exception {
         sender.kill();
         start();
     }
@@ -171,7 +171,7 @@
                 + "\r\nX-Envelope: dest=7\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    private void handIn(String id, String type) throws Exception {
+    private void submit(String id, String type) throws Exception {
         assertEquals("HTTP/1.1 202 Accepted", ask(client(), message(id, type, "hello")).line());
     }
 
@@ -183,16 +183,16 @@
         endpoints.forEach(e -> e.script(script));
     }
 
-    /** What the journal holds, read from a copy. */
-    private List<PendingMessage> journalled() {
-        return journalled(journal -> List.copyOf(journal.pendingMessages()));
+    /** The pending messages in the journal, read from a copy of its file. */
+    private List<PendingMessage> pendingInJournal() {
+        return readJournal(journal -> List.copyOf(journal.pendingMessages()));
     }
 
-    private Map<String, Journal.Health> journalledHealth() {
-        return journalled(Journal::endpointHealth);
+    private Map<String, Journal.Health> healthInJournal() {
+        return readJournal(Journal::endpointHealth);
     }
 
-    private <T> T journalled(Function<Journal, T> of) {
+    private <T> T readJournal(Function<Journal, T> of) {
         try {
             Path copy = Files.createTempDirectory(folder, "copy");
             Files.copy(folder.resolve("state/journal"), copy.resolve("journal"),
@@ -205,25 +205,25 @@
         }
     }
 
-    /** Leaves a journal as an earlier life would have: one message with one attempt, out since then. */
-    private PendingMessage earlierLife(String type, long attemptAgoMs, long leftMs, boolean notice) throws Exception {
+    /** Writes the journal of an earlier process: one message, with one attempt in flight if {@code attemptAgoMs} is over 0. */
+    private PendingMessage writeEarlierJournal(String type, long attemptAgoMs, long leftMs, boolean notice) throws Exception {
         try (Journal journal = new Journal(folder.resolve("state"), 3_000_000, 12)) {
             long wall = System.currentTimeMillis();
-            PendingMessage held = new PendingMessage(journal.nextNumber(), "old", type, "acme", Optional.of("key-old"), 7,
+            PendingMessage pending = new PendingMessage(journal.nextNumber(), "old", type, "acme", Optional.of("key-old"), 7,
                     wall + leftMs, "hello".getBytes(StandardCharsets.ISO_8859_1));
-            journal.recordAccepted(held);
+            journal.recordAccepted(pending);
             if (attemptAgoMs > 0) {
-                journal.recordAttempt(held, new PendingMessage.Attempt("s-0", wall - attemptAgoMs));
+                journal.recordAttempt(pending, new PendingMessage.Attempt("s-0", wall - attemptAgoMs));
             }
             if (notice) {
-                journal.recordAnswer(held, new PendingMessage.Notice(PendingMessage.FinalAnswer.REFUSED, 700));
+                journal.recordAnswer(pending, new PendingMessage.Notice(PendingMessage.FinalAnswer.REFUSED, 700));
             }
-            return held;
+            return pending;
         }
     }
 
-    /** Leaves a journal with messages that are late, not one of them tried, and what was known of endpoints. */
-    private void earlierBacklog(int many, Map<String, DeliveryPolicy.State> states) throws Exception {
+    /** Writes the journal of an earlier process: late messages without an attempt, and these states of endpoints. */
+    private void writeEarlierBacklog(int many, Map<String, DeliveryPolicy.State> states) throws Exception {
         try (Journal journal = new Journal(folder.resolve("state"), 3_000_000, 12)) {
             long wall = System.currentTimeMillis();
             for (int i = 0; i < many; i++) {
@@ -240,38 +240,41 @@
         return endpoints.stream().mapToInt(Stub::ended).sum();
     }
 
-    private void awaitNothingHeld() throws InterruptedException {
-        Stub.await("the journal holds nothing", () -> journalled().isEmpty());
+    private void awaitJournalEmpty() throws InterruptedException {
+        Stub.await("the journal contains no message", () -> pendingInJournal().isEmpty());
     }
 
     private void awaitNotice(String result) throws Exception {
         Stub.await("the notice", () -> !notices.isEmpty());
         assertTrue(notices.get(0).contains(result), notices.get(0));
-        awaitNothingHeld();
+        awaitJournalEmpty();
         assertEquals(1, notices.size());
     }
 
     // ---- delivery ----
 
     @Test
-    void aMessageIsTakenDeliveredAndForgotten() throws Exception {
+    void deliversAMessageOnceAndRemovesItFromTheJournal() throws Exception {
         start();
-        handIn("one", "order");
-        awaitNothingHeld();
+        submit("one", "order");
+        awaitJournalEmpty();
         assertEquals(1, calls().size());
         assertEquals("one", calls().get(0).header("X-Call-Id"));
         assertEquals("key-one", calls().get(0).header("Idempotency-Key"));
         assertEquals("hello", calls().get(0).body());
         assertTrue(notices.isEmpty());
-        killAndStart();
-        handIn("two", "order");
-        awaitNothingHeld();
-        assertEquals(2, calls().size(), "what was delivered is not sent again by a later life");
+        restart();
+        submit("two", "order");
+        awaitJournalEmpty();
+        assertEquals(2, calls().size(), "a delivered message is not sent again after a restart");
     }
 
-    /** One of many senders may find an endpoint's few connections taken: what it refused goes over one that was kept. */
+    /**
+     * An endpoint that accepts few connections may refuse one of many senders a further one. Messages refused on a new connection
+     * must be sent on a connection that is kept open.
+     */
     @Test
-    void anEndpointThatTakesTwoConnectionsGetsEveryMessageOnce() throws Exception {
+    void deliversEveryMessageOnceToAnEndpointThatAcceptsTwoConnections() throws Exception {
         states = "SERVING DRAINING";
         Set<Socket> accepted = ConcurrentHashMap.newKeySet();
         Set<String> delivered = ConcurrentHashMap.newKeySet();
@@ -284,54 +287,54 @@
                 return;
             }
             accepted.add(socket);
-            // The first two are out until a third had to be refused.
+            // The first two calls stay in flight until a third was refused.
             Stub.await("a refusal", () -> refused.get() > 0);
             assertTrue(delivered.add(request.header("X-Call-Id")), "once");
             Stub.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         });
         start();
         for (int i = 0; i < MAX_OPEN; i++) {
-            handIn("m-" + i, "order");
+            submit("m-" + i, "order");
         }
-        awaitNothingHeld();
+        awaitJournalEmpty();
         assertEquals(MAX_OPEN, delivered.size());
         assertTrue(notices.isEmpty());
     }
 
     @Test
-    void aMessageThatIsOverIsOwedNothing() throws Exception {
+    void sendsNoNoticeForAMessageThatTheEndpointReportsAsOver() throws Exception {
         script(Stub.status(410, ""));
         start();
-        handIn("one", "order");
-        awaitNothingHeld();
+        submit("one", "order");
+        awaitJournalEmpty();
         assertTrue(notices.isEmpty());
     }
 
     @Test
-    void aMessageThatMayNotBeRepeatedEndsByANotice() throws Exception {
+    void sendsANoticeForAnUnsafeMessageThatFailed() throws Exception {
         script(Stub.status(500, ""));
         start();
-        handIn("one", "once");
+        submit("one", "once");
         awaitNotice("{\"ref\":\"one\",\"result\":\"dead\"}");
         assertEquals(1, calls().size());
     }
 
     @Test
-    void aNoticeIsRepeatedUntilItIsHeard() throws Exception {
+    void repeatsANoticeUntilItIsAcknowledged() throws Exception {
         script(Stub.status(500, ""));
         reportStatus = 500;
         start();
-        handIn("one", "once");
+        submit("one", "once");
         Stub.await("several tries", () -> agent.requests.stream().filter(r -> r.line().startsWith("POST"))
                 .count() > 2);
-        assertEquals(1, journalled().size());
+        assertEquals(1, pendingInJournal().size());
         reportStatus = 204;
         awaitNotice("dead");
     }
 
-    /** An answer takes a late loop another round: the next notice must not wait for it. */
+    /** With a late event loop an answer takes an iteration more: the next notice must not wait for it. */
     @Test
-    void aNoticeDoesNotWaitForTheAnswerToTheOneBefore() throws Exception {
+    void sendsANoticeBeforeThePreviousOneIsAcknowledged() throws Exception {
         script(Stub.status(500, ""));
         CountDownLatch second = new CountDownLatch(1);
         Stub slow = new Stub((request, socket) -> {
@@ -348,80 +351,84 @@
         Stub first = agent;
         agent = slow;
         start();
-        handIn("one", "once");
-        Stub.await("its notice is out", () -> slow.requests.stream().anyMatch(r -> r.body().contains("\"one\"")));
-        handIn("two", "once");
-        Stub.await("the notice behind it", () -> noticesOf("two") == 1);
-        awaitNothingHeld();
+        submit("one", "once");
+        Stub.await("its notice is sent", () -> slow.requests.stream().anyMatch(r -> r.body().contains("\"one\"")));
+        submit("two", "once");
+        Stub.await("the next notice", () -> noticesOf("two") == 1);
+        awaitJournalEmpty();
         first.close();
     }
 
     @Test
-    void aToldWaitIsKept() throws Exception {
+    void sendsNothingDuringARequestedDelay() throws Exception {
         start();
         script(Stub.status(429, "Retry-After: 0.6\r\n"));
-        handIn("one", "order");
-        Stub.await("the wait is told", () -> journalled().get(0).attempts.stream().anyMatch(a -> a.neverRan));
+        submit("one", "order");
+        Stub.await("the requested delay is recorded", () -> pendingInJournal().get(0).attempts.stream()
+                .anyMatch(a -> a.neverRan));
         script(Stub.status(200, ""));
-        handIn("two", "order");
+        submit("two", "order");
         Stub.await("both delivered", () -> calls().size() == 3);
         long first = calls().stream().mapToLong(Stub.Message::atNanos).min().orElseThrow();
         for (Stub.Message later : calls()) {
-            assertTrue(later.atNanos() == first || later.atNanos() - first >= 600_000_000, "sent while waiting");
+            assertTrue(later.atNanos() == first || later.atNanos() - first >= 600_000_000,
+                    "sent before the requested delay was over");
         }
     }
 
     /**
-     * Found on a day of late connections: a call came 0.65 s before the end of a wait, told by its destination's other endpoint
-     * while it was connected. Its decision lay before the wait, its first byte in it.
+     * Guards against calls during a requested delay. In a run with slow connects a call arrived 0.65 s before the end of a
+     * delay that the other endpoint of its destination had requested while the call was connecting: it was decided before the
+     * delay began, and its first byte was written after.
      */
     @Test
-    void aWaitThatIsToldWhileACallIsConnectedHoldsForIt() throws Exception {
+    void appliesARequestedDelayToACallThatIsStillConnecting() throws Exception {
         Stub late = Stub.late(Stub.status(200, ""));
         endpoints.set(1, late).close();
         endpoints.get(0).script(Stub.silent());
         dialMs = 20_000;
         start();
-        handIn("one", "order");
+        submit("one", "order");
         Stub.await("the first call", () -> endpoints.get(0).requests.size() == 1);
-        handIn("two", "once");
-        Stub.await("the second call is on its way to the other endpoint", () -> journalled().stream()
+        submit("two", "once");
+        Stub.await("the second call is connecting to the other endpoint", () -> pendingInJournal().stream()
                 .anyMatch(h -> h.id.equals("two") && h.attempts.stream().anyMatch(a -> a.endpoint.equals("s-1"))));
         endpoints.get(0).script(Stub.status(200, ""));
-        long told = System.nanoTime();
+        long requestedNanos = System.nanoTime();
         endpoints.get(0).answerAll("HTTP/1.1 429 x\r\nRetry-After: 4\r\nContent-Length: 0\r\n\r\n");
-        Stub.await("the wait is read", () -> journalled().stream().anyMatch(h -> h.id.equals("one") && h.attempts.get(0).neverRan));
+        Stub.await("the requested delay is recorded", () -> pendingInJournal().stream()
+                .anyMatch(h -> h.id.equals("one") && h.attempts.get(0).neverRan));
         late.open();
-        awaitNothingHeld();
-        assertEquals(List.of(), notices, "what was not written may go again");
+        awaitJournalEmpty();
+        assertEquals(List.of(), notices, "a message that was not written may be sent again");
         assertEquals(3, calls().size());
         for (Stub.Message call : calls().subList(1, 3)) {
-            assertTrue(call.atNanos() - told >= 4_000_000_000L, call.line() + " of " + call.header("X-Call-Id")
-                    + " came " + (call.atNanos() - told) / 1_000_000 + " ms into a wait of 4000 ms");
+            assertTrue(call.atNanos() - requestedNanos >= 4_000_000_000L, call.line() + " of " + call.header("X-Call-Id")
+                    + " came " + (call.atNanos() - requestedNanos) / 1_000_000 + " ms into a requested delay of 4000 ms");
         }
     }
 
     @Test
-    void nothingNewGoesToADrainingEndpoint() throws Exception {
+    void sendsNothingNewToADrainingEndpoint() throws Exception {
         start();
         for (int round = 0; round < 2; round++) {
             states = round == 0 ? "DRAINING SERVING" : "SERVING DELETED";
             String generation = generation();
-            Stub.await("the list is read", () -> agent.requests.stream()
+            Stub.await("the endpoint list is read", () -> agent.requests.stream()
                     .anyMatch(r -> r.line().contains("after=" + generation)));
             int before = endpoints.get(round).requests.size();
             for (int i = 0; i < 4; i++) {
-                handIn("m" + round + i, "order");
-                awaitNothingHeld();
+                submit("m" + round + i, "order");
+                awaitJournalEmpty();
             }
             assertEquals(before, endpoints.get(round).requests.size());
         }
         assertEquals(8, calls().size());
     }
 
-    /** Told before discovery fell silent it holds all the while; told when discovery is back it holds from then on. */
+    /** A drain that was reported before discovery stopped answering stays in force; one reported afterwards takes effect then. */
     @Test
-    void aDrainHoldsWhileDiscoveryIsSilentAndAfter() throws Exception {
+    void keepsEndpointsDrainedWhileDiscoveryDoesNotAnswer() throws Exception {
         start();
         states = "DRAINING SERVING";
         String drained = generation();
@@ -431,158 +438,161 @@
         int asked = agent.requests.size();
         states = "SERVING DRAINING";
         for (int i = 0; i < 4; i++) {
-            handIn("silent" + i, "order");
-            awaitNothingHeld();
+            submit("silent" + i, "order");
+            awaitJournalEmpty();
         }
-        Stub.await("discovery is asked again in its silence", () -> agent.requests.size() > asked);
-        handIn("silent", "order");
-        awaitNothingHeld();
-        assertEquals(before, endpoints.get(0).requests.size(), "it drains, whatever discovery does not say");
+        Stub.await("discovery is queried again while it does not answer", () -> agent.requests.size() > asked);
+        submit("silent", "order");
+        awaitJournalEmpty();
+        assertEquals(before, endpoints.get(0).requests.size(), "the endpoint still drains while discovery does not answer");
         agentUp = true;
         String moved = generation();
         Stub.await("the other drain is read", () -> agent.requests.stream().anyMatch(r -> r.line().contains("after=" + moved)));
         int there = endpoints.get(1).requests.size();
         for (int i = 0; i < 4; i++) {
-            handIn("back" + i, "order");
-            awaitNothingHeld();
+            submit("back" + i, "order");
+            awaitJournalEmpty();
         }
         assertEquals(there, endpoints.get(1).requests.size());
         assertEquals(before + 4, endpoints.get(0).requests.size());
     }
 
     @Test
-    void aSilentAgentHoldsNothingUp() throws Exception {
+    void deliversWhileTheAgentDoesNotAnswer() throws Exception {
         agentUp = false;
         start();
         assertEquals("HTTP/1.1 200 OK", ask(client(), "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").line());
-        handIn("one", "order");
-        awaitNothingHeld();
+        submit("one", "order");
+        awaitJournalEmpty();
         agentUp = true;
-        Stub.await("the list is asked for again", () -> agent.requests.stream()
+        Stub.await("the list is requested again", () -> agent.requests.stream()
                 .anyMatch(r -> r.line().contains("after=")));
     }
 
     @Test
-    void nothingIsTakenOrGivenUpBeforeAListIsKnown() throws Exception {
-        PendingMessage old = earlierLife("order", 1000, 20_000, false);
+    void acceptsAndFailsNothingBeforeTheFirstEndpointList() throws Exception {
+        PendingMessage old = writeEarlierJournal("order", 1000, 20_000, false);
         known = false;
         agentUp = false;
         start();
         assertEquals("503", ask(client(), "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").line().split(" ")[1]);
         assertEquals("503", ask(client(), message("one", "order", "hello")).line().split(" ")[1]);
         agentUp = true;
-        awaitNothingHeld();
+        awaitJournalEmpty();
         assertEquals(List.of(old.id), calls().stream().map(c -> c.header("X-Call-Id")).toList());
         assertEquals("200", ask(client(), "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").line().split(" ")[1]);
     }
 
     // ---- restarts ----
 
-    /** Lateness alone is no outage: it may come of our own slots, pace or CPU. */
+    /** Late messages alone are no sign of an outage: they may be late because of the sender's own slots, send rate or CPU. */
     @Test
-    void aLateBacklogGoesOutAtOnceInTheNextLife() throws Exception {
-        earlierBacklog(5, Map.of());
+    void sendsALateBacklogAtOnceAfterARestart() throws Exception {
+        writeEarlierBacklog(5, Map.of());
         script(Stub.silent());
         start();
         Stub.await("all calls", () -> calls().stream().map(c -> c.header("X-Call-Id")).distinct().count() == 5);
-        assertEquals(0, ended(), "none waited for the end of another");
+        assertEquals(0, ended(), "no call waited for the end of another");
     }
 
     @Test
-    void anOutageThatAnEarlierLifeSawGoesOnWithTrials() throws Exception {
-        earlierBacklog(5, Map.of("s-0", DeliveryPolicy.State.DOWN, "s-1", DeliveryPolicy.State.DOWN));
+    void probesAfterARestartDuringAnOutage() throws Exception {
+        writeEarlierBacklog(5, Map.of("s-0", DeliveryPolicy.State.DOWN, "s-1", DeliveryPolicy.State.DOWN));
         script(Stub.silent());
         start();
-        Stub.await("the end of a trial", () -> ended() > 0);
-        assertTrue(calls().size() <= 3, "one out at each endpoint: " + calls().size());
+        Stub.await("the end of a probe", () -> ended() > 0);
+        assertTrue(calls().size() <= 3, "at most one call in flight at each endpoint: " + calls().size());
     }
 
     @Test
-    void anOutageIsInTheJournal() throws Exception {
+    void recordsAnOutageInTheJournal() throws Exception {
         start();
         for (Stub endpoint : endpoints) {
             endpoint.close();
         }
-        // Enough that each endpoint gets one, whichever is tried first and however late.
+        // Enough messages that each endpoint gets one, whichever is used first.
         for (String id : List.of("one", "two", "three", "four")) {
-            handIn(id, "order");
+            submit(id, "order");
         }
-        Stub.await("the state of both", () -> journalledHealth().values().stream()
+        Stub.await("the state of both", () -> healthInJournal().values().stream()
                 .filter(h -> h.state() == DeliveryPolicy.State.DOWN).count() == 2);
     }
 
     @Test
-    void aKeyedAttemptThatWasOutIsRepeatedWithinItsWindow() throws Exception {
+    void repeatsAKeyedAttemptAfterARestartWithinItsWindow() throws Exception {
         script(Stub.silent());
         start();
-        handIn("one", "order");
+        submit("one", "order");
         Stub.await("the call", () -> calls().size() == 1);
         script(Stub.status(200, ""));
-        killAndStart();
+        restart();
         Stub.await("the repeat", () -> calls().size() == 2);
         assertEquals(List.of("one", "one"), calls().stream().map(c -> c.header("X-Call-Id")).toList());
         assertEquals(List.of("key-one", "key-one"),
                 calls().stream().map(c -> c.header("Idempotency-Key")).toList());
-        awaitNothingHeld();
+        awaitJournalEmpty();
     }
 
     @Test
-    void aKeyedAttemptThatWasOutIsNotRepeatedPastItsWindow() throws Exception {
-        earlierLife("order", 21_000, 10_000, false);
+    void doesNotRepeatAKeyedAttemptAfterItsWindow() throws Exception {
+        writeEarlierJournal("order", 21_000, 10_000, false);
         start();
         awaitNotice("dead");
         assertTrue(calls().isEmpty());
     }
 
     @Test
-    void anUnsafeAttemptThatWasOutIsGivenUp() throws Exception {
+    void failsAnUnsafeMessageWhoseAttemptWasInFlightAtARestart() throws Exception {
         script(Stub.silent());
         start();
-        handIn("one", "once");
+        submit("one", "once");
         Stub.await("the call", () -> calls().size() == 1);
-        killAndStart();
+        restart();
         awaitNotice("dead");
         assertEquals(1, calls().size());
     }
 
     @Test
-    void anUnsafeMessageWhoseAttemptNeverRanIsSentAgain() throws Exception {
+    void sendsAnUnsafeMessageAgainIfItsAttemptNeverRan() throws Exception {
         script(Stub.status(503, ""));
         start();
-        handIn("one", "once");
-        Stub.await("the refusal is known", () -> journalled().get(0).attempts.stream()
+        submit("one", "once");
+        Stub.await("the refusal is recorded", () -> pendingInJournal().get(0).attempts.stream()
                 .anyMatch(a -> a.neverRan));
         script(Stub.status(200, ""));
-        killAndStart();
-        awaitNothingHeld();
+        restart();
+        awaitJournalEmpty();
         assertTrue(notices.isEmpty());
     }
 
     @Test
-    void anUnsentMessageGoesOutInTheNextLife() throws Exception {
-        earlierLife("once", 0, 10_000, false);
+    void sendsAnUnsentMessageAfterARestart() throws Exception {
+        writeEarlierJournal("once", 0, 10_000, false);
         start();
-        awaitNothingHeld();
+        awaitJournalEmpty();
         assertEquals(1, calls().size());
     }
 
     @Test
-    void anOverdueMessageGetsItsNoticeAtOnce() throws Exception {
-        earlierLife("order", 0, -5000, false);
+    void sendsTheNoticeOfAnOverdueMessageAtOnce() throws Exception {
+        writeEarlierJournal("order", 0, -5000, false);
         start();
         awaitNotice("bounced");
         assertTrue(calls().isEmpty());
     }
 
-    /** The users' term: it is given up with no call only where its client's own time is over, not the sender's reserve of it. */
+    /**
+     * A message without any attempt fails only when the client's whole time limit is over. The reserve that the sender subtracts
+     * from it may be used for a first attempt, as users were promised.
+     */
     @Test
-    void whatWasNeverTriedIsTriedInItsReserve() throws Exception {
-        try (Journal journal = earlier(ProcessClock.system().reference())) {
+    void attemptsAnUntriedMessageDuringItsReserve() throws Exception {
+        try (Journal journal = openJournal(ProcessClock.system().reference())) {
             long wall = System.currentTimeMillis();
             for (int reserveMs : new int[] {600_000, 0}) {
-                PendingMessage held = order(journal, "order", wall - 1000);
-                held.reserveMs = reserveMs;
-                journal.recordAccepted(held);
+                PendingMessage pending = order(journal, "order", wall - 1000);
+                pending.reserveMs = reserveMs;
+                journal.recordAccepted(pending);
             }
             PendingMessage tried = order(journal, "order", wall - 1000);
             tried.reserveMs = 600_000;
@@ -590,34 +600,35 @@
             journal.recordAttempt(tried, new PendingMessage.Attempt("s-0", wall - 5000));
         }
         start();
-        awaitNothingHeld();
+        awaitJournalEmpty();
         assertEquals(List.of("old-0"), calls().stream().map(c -> c.header("X-Call-Id")).toList());
         assertEquals(0, noticesOf("old-0"));
         assertEquals(1, noticesOf("old-1"));
-        assertEquals(1, noticesOf("old-2"), "what may have run has its end in time");
+        assertEquals(1, noticesOf("old-2"), "a message that may have run gets its final answer in time");
     }
 
-    /** Its class, its tenant or its destination is not there any more: each message held has one end all the same. */
+    /** Class, tenant or destination were removed from the settings: each pending message still gets one final answer. */
     @Test
-    void settingsThatChangedBetweenTwoLivesEndEachMessageOnce() throws Exception {
-        try (Journal journal = earlier(ProcessClock.system().reference())) {
+    void endsEachMessageOnceAfterSettingsChanged() throws Exception {
+        try (Journal journal = openJournal(ProcessClock.system().reference())) {
             long wall = System.currentTimeMillis();
-            for (String[] now : new String[][] {{"class", "gone", "acme", "7", "20000"}, {"tenant", "order", "renamed", "7", "20000"},
-                    {"dest", "order", "acme", "99", "3000"}}) {
+            for (String[] now : new String[][] {{"class", "gone", "acme", "7", "20000"},
+                    {"tenant", "order", "renamed", "7", "20000"}, {"dest", "order", "acme", "99", "3000"}}) {
                 journal.recordAccepted(new PendingMessage(journal.nextNumber(), now[0], now[1], now[2],
                         Optional.of("key-" + now[0]), Long.parseLong(now[3]), wall + Long.parseLong(now[4]), new byte[0]));
             }
         }
         start();
-        awaitNothingHeld();
+        awaitJournalEmpty();
         assertEquals(List.of("tenant"), calls().stream().map(c -> c.header("X-Call-Id")).toList());
         assertEquals(List.of(1L, 0L, 1L), List.of(noticesOf("class"), noticesOf("tenant"), noticesOf("dest")));
-        assertTrue(notices.stream().anyMatch(n -> n.contains("\"dest\"") && n.contains("bounced")), "it never ran: " + notices);
+        assertTrue(notices.stream().anyMatch(n -> n.contains("\"dest\"") && n.contains("bounced")),
+                "a message that never ran is refused: " + notices);
     }
 
     @Test
-    void anOwedNoticeGoesOutInTheNextLife() throws Exception {
-        earlierLife("order", 0, 10_000, true);
+    void sendsAPendingNoticeAfterARestart() throws Exception {
+        writeEarlierJournal("order", 0, 10_000, true);
         start();
         awaitNotice("{\"ref\":\"old\",\"result\":\"bounced\",\"wait_ms\":700}");
         assertTrue(calls().isEmpty());
@@ -625,11 +636,11 @@
 
     // ---- a new configuration ----
 
-    /** A second agent, which counts its generations from anew; nothing moves before the program is told. */
-    private Stub secondAgent(List<String> told) throws IOException {
+    /** A second agent, whose generations start at 1 again. It is used only after a reload of the configuration. */
+    private Stub secondAgent(List<String> received) throws IOException {
         return new Stub((request, socket) -> {
             if (request.line().startsWith("POST")) {
-                told.addAll(List.of(request.body().trim().split("\n")));
+                received.addAll(List.of(request.body().trim().split("\n")));
                 Stub.write(socket, "HTTP/1.1 204 x\r\n\r\n");
             } else if (!request.line().contains("after=")) {
                 String list = list().replace("\"generation\":" + generation(), "\"generation\":1");
@@ -639,38 +650,38 @@
     }
 
     @Test
-    void aNewConfigurationMovesTheWatchAndTheNoticesAtOnce() throws Exception {
+    void switchesWatchAndNoticesToANewAgentAddress() throws Exception {
         script(Stub.status(500, ""));
         reportStatus = 500;
         start();
-        handIn("one", "once");
-        Stub.await("the watch and a notice that is not heard", () -> agent.requests.stream()
+        submit("one", "once");
+        Stub.await("a watch and an unacknowledged notice", () -> agent.requests.stream()
                 .anyMatch(r -> r.line().contains("after=")) && agent.requests.stream()
                 .anyMatch(r -> r.line().startsWith("POST")));
-        List<String> told = new CopyOnWriteArrayList<>();
+        List<String> received = new CopyOnWriteArrayList<>();
         Stub old = agent;
-        try (Stub fresh = secondAgent(told)) {
+        try (Stub fresh = secondAgent(received)) {
             agent = fresh;
             config();
             sender.reload(environment());
-            Stub.await("the notice, told to the new address", () -> told.size() == 1);
-            Stub.await("a whole list, then a watch", () -> fresh.requests.stream()
+            Stub.await("the notice at the new address", () -> received.size() == 1);
+            Stub.await("a complete list, then a watch", () -> fresh.requests.stream()
                     .filter(r -> r.line().startsWith("GET")).count() == 2);
             List<String> asked = fresh.requests.stream().map(Stub.Message::line)
                     .filter(line -> line.startsWith("GET")).toList();
             assertEquals("GET /v1/servers HTTP/1.1", asked.get(0));
             assertTrue(asked.get(1).startsWith("GET /v1/servers?after=1&"), asked.get(1));
-            awaitNothingHeld();
+            awaitJournalEmpty();
             script(Stub.status(200, ""));
-            handIn("two", "order");
-            awaitNothingHeld();
+            submit("two", "order");
+            awaitJournalEmpty();
         } finally {
             agent = old;
         }
     }
 
     @Test
-    void anUnreadableConfigurationLeavesTheOldOneStanding() throws Exception {
+    void keepsTheConfigurationIfANewOneCannotBeRead() throws Exception {
         start();
         Files.writeString(folder.resolve("config.json"), "{\"name\":");
         sender.reload(environment());
@@ -678,36 +689,36 @@
         sender.reload(environment());
         String before = generation();
         states = "SERVING DRAINING";
-        Stub.await("the old agent is asked on", () -> !before.equals(generation()) && agent.requests.stream()
+        Stub.await("the old agent is still queried", () -> !before.equals(generation()) && agent.requests.stream()
                 .anyMatch(r -> r.line().contains("after=" + generation())));
-        handIn("one", "order");
-        awaitNothingHeld();
+        submit("one", "order");
+        awaitJournalEmpty();
     }
 
-    /** The environment keeps the address that was true at the first start. */
+    /** The environment keeps the address of the first start, so the address in the file takes precedence. */
     @Test
-    void theFilesDiscoveryGoesBeforeTheEnvironments() throws Exception {
+    void prefersTheDiscoveryAddressOfTheFile() throws Exception {
         config();
         Map<String, String> stale = new HashMap<>(environment());
         stale.put("GW_DISCOVERY", "127.0.0.1:1");
         assertEquals(agent.address(), Config.read(stale).discovery());
     }
 
-    /** The program itself, as a process: SIGHUP moves it and does not end it; SIGTERM still drains. */
+    /** The program as a process: SIGHUP makes it use another agent and does not end it; SIGTERM still drains. */
     @Test
-    void theProcessMovesOnSighup() throws Exception {
+    void reloadsOnSighup() throws Exception {
         config();
         Process process = process();
-        List<String> told = new CopyOnWriteArrayList<>();
+        List<String> received = new CopyOnWriteArrayList<>();
         Stub old = agent;
-        try (Stub fresh = secondAgent(told)) {
+        try (Stub fresh = secondAgent(received)) {
             agent = fresh;
             config();
             assertEquals(0, new ProcessBuilder("sh", "-c", "kill -HUP " + process.pid()).start().waitFor());
-            Stub.await("the new agent is asked", () -> !fresh.requests.isEmpty());
+            Stub.await("the new agent is queried", () -> !fresh.requests.isEmpty());
             script(Stub.status(500, ""));
-            handIn("one", "once");
-            Stub.await("the notice, told to the new address", () -> told.size() == 1);
+            submit("one", "once");
+            Stub.await("the notice at the new address", () -> received.size() == 1);
             process.destroy();
             assertNotEquals(129, process.waitFor());
         } finally {
@@ -719,7 +730,7 @@
     // ---- clients ----
 
     @Test
-    void badInputIsAnsweredAndHarmsNothing() throws Exception {
+    void answersInvalidRequestsAndStaysUsable() throws Exception {
         start();
         String good = message("id", "order", "hello");
         Map<String, String> answers = Map.ofEntries(
@@ -744,12 +755,12 @@
             Stub.Message answer = ask(client(), e.getKey());
             assertEquals(e.getValue(), answer.line().split(" ")[1], e.getKey());
         }
-        assertTrue(journalled().isEmpty());
-        handIn("good", "order");
+        assertTrue(pendingInJournal().isEmpty());
+        submit("good", "order");
     }
 
-    /** Reads to the end of the connection, however soon that comes; fails if it never does. */
-    private static String untilClosed(Socket socket) throws IOException {
+    /** Reads until the connection is closed or reset; fails after 30 s without data. */
+    private static String readUntilClosed(Socket socket) throws IOException {
         socket.setSoTimeout(30_000);
         try {
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
@@ -759,21 +770,21 @@
     }
 
     @Test
-    void aRequestOfTwoLengthsIsTurnedAwayWithWhatItHides() throws Exception {
+    void rejectsARequestWithTwoLengthsAndTheOneHiddenInIt() throws Exception {
         start();
         String hidden = message("hidden", "order", "hello");
         for (String coding : List.of("chunked", "xchunked", "gzip, chunked", "identity")) {
             Socket client = client();
             Stub.write(client, message("outer", "order", "0\r\n\r\n" + hidden).replace("Host: x\r\n",
                     "Host: x\r\nTransfer-Encoding: " + coding + "\r\n"));
-            String answers = untilClosed(client);
+            String answers = readUntilClosed(client);
             assertTrue(answers.startsWith("HTTP/1.1 400 ") && !answers.contains("202"), coding + ": " + answers);
         }
-        assertTrue(journalled().isEmpty() && calls().isEmpty());
+        assertTrue(pendingInJournal().isEmpty() && calls().isEmpty());
     }
 
     @Test
-    void whatNeverBecomesARequestIsClosedBeforeLong() throws Exception {
+    void closesConnectionsWithoutACompleteRequest() throws Exception {
         start();
         String whole = message("half", "order", "hello");
         Socket silent = client();
@@ -789,76 +800,76 @@
         Stub.write(endless, "GET /healthz HTTP/1.1\r\n" + "X-More: more\r\n".repeat(2000));
         Socket once = client();
         assertEquals("HTTP/1.1 200 OK", ask(once, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").line());
-        assertEquals("", untilClosed(once), "what asks once does not stay for good");
-        assertEquals("", untilClosed(silent));
-        assertTrue(untilClosed(half).startsWith("HTTP/1.1 408 "));
-        assertTrue(untilClosed(later).startsWith("HTTP/1.1 408 "));
-        assertTrue(untilClosed(behind).startsWith("HTTP/1.1 408 "));
-        assertFalse(untilClosed(endless).contains("200"));
-        assertTrue(journalled().isEmpty());
+        assertEquals("", readUntilClosed(once), "a connection with one request is closed later");
+        assertEquals("", readUntilClosed(silent));
+        assertTrue(readUntilClosed(half).startsWith("HTTP/1.1 408 "));
+        assertTrue(readUntilClosed(later).startsWith("HTTP/1.1 408 "));
+        assertTrue(readUntilClosed(behind).startsWith("HTTP/1.1 408 "));
+        assertFalse(readUntilClosed(endless).contains("200"));
+        assertTrue(pendingInJournal().isEmpty());
     }
 
     @Test
-    void hundredsThatSayNothingKeepNobodyOut() throws Exception {
+    void servesClientsDespiteHundredsOfSilentConnections() throws Exception {
         start();
         Socket usual = client();
         assertEquals("202", ask(usual, message("one", "order", "hello")).line().split(" ")[1]);
         for (int i = 0; i < 300; i++) {
             client();
         }
-        handIn("two", "order");
+        submit("two", "order");
         assertEquals("202", ask(usual, message("three", "order", "hello")).line().split(" ")[1],
-                "one that asked before keeps its connection");
+                "a client with an earlier request keeps its connection");
     }
 
     @Test
-    void aDestinationThatNoListNamedIsRefusedAndOneThatIsAwayIsTaken() throws Exception {
+    void refusesUnknownDestinationsAndAcceptsUnavailableOnes() throws Exception {
         start();
         String other = message("other", "order", "hello").replace("dest=7", "dest=8");
         assertEquals("503", ask(client(), other).line().split(" ")[1]);
-        assertTrue(journalled().isEmpty());
+        assertTrue(pendingInJournal().isEmpty());
         states = "DRAINING DRAINING";
         Stub.await("the list is read", () -> agent.requests.stream()
                 .anyMatch(r -> r.line().contains("after=" + generation())));
-        handIn("away", "order");
-        assertEquals(1, journalled().size());
+        submit("away", "order");
+        assertEquals(1, pendingInJournal().size());
     }
 
     @Test
-    void aBudgetIsBoundedByItsClassAndLeavesRoomForTimeUnread() throws Exception {
+    void limitsTheBudgetToItsClassLessAReserve() throws Exception {
         script(Stub.silent());
         start();
         String budget = "X-Budget-Ms: " + Long.MAX_VALUE;
         long before = System.currentTimeMillis();
         assertEquals("202", ask(client(), message("one", "order", "hello").replace("X-Budget-Ms: 24000", budget))
                 .line().split(" ")[1]);
-        long leftMs = journalled().get(0).deadlineMs - before;
+        long leftMs = pendingInJournal().get(0).deadlineMs - before;
         assertTrue(leftMs >= 23_300 && leftMs <= 23_300 + System.currentTimeMillis() - before, leftMs + " ms");
     }
 
     @Test
-    void anIdThatIsOverIsNotTakenAgain() throws Exception {
+    void recognisesTheIdOfAnEndedMessage() throws Exception {
         start();
-        handIn("one", "order");
-        awaitNothingHeld();
-        handIn("one", "order");
+        submit("one", "order");
+        awaitJournalEmpty();
+        submit("one", "order");
         script(Stub.status(500, ""));
-        handIn("two", "once");
+        submit("two", "once");
         awaitNotice("{\"ref\":\"two\",\"result\":\"dead\"}");
         assertEquals("409", ask(client(), message("two", "order", "hello")).line().split(" ")[1]);
         assertEquals(2, calls().size());
-        assertTrue(journalled().isEmpty());
+        assertTrue(pendingInJournal().isEmpty());
     }
 
     @Test
-    void bodiesMayHaveSixtyFourKibAndAnyBytes() throws Exception {
+    void acceptsBodiesOf64KibWithAnyBytes() throws Exception {
         start();
         StringBuilder any = new StringBuilder();
         for (int i = 0; i < 64 * 1024; i++) {
             any.append((char) (i % 256));
         }
         assertEquals("202", ask(client(), message("big", "order", any.toString())).line().split(" ")[1]);
-        awaitNothingHeld();
+        awaitJournalEmpty();
         assertEquals(any.toString(), calls().get(0).body());
         String long413 = message("long", "order", any + "x");
         assertEquals("413", ask(client(), long413).line().split(" ")[1]);
@@ -866,7 +877,7 @@
     }
 
     @Test
-    void aChunkedBodyInPiecesIsTaken() throws Exception {
+    void acceptsAChunkedBodyInPieces() throws Exception {
         start();
         Socket client = client();
         for (char c : message("one", "order", "").replace("Content-Length: 0", "Transfer-Encoding: chunked")
@@ -874,46 +885,46 @@
             Stub.write(client, String.valueOf(c));
         }
         assertEquals("202", ask(client, "3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n").line().split(" ")[1]);
-        awaitNothingHeld();
+        awaitJournalEmpty();
         assertEquals("hello", calls().get(0).body());
     }
 
     @Test
-    void aFullSenderRefuses() throws Exception {
+    void refusesMessagesWhenFull() throws Exception {
         script(Stub.silent());
         start();
         for (int i = 0; i < MAX_OPEN; i++) {
-            handIn("m" + i, "order");
+            submit("m" + i, "order");
         }
         assertEquals("503", ask(client(), message("more", "order", "hello")).line().split(" ")[1]);
-        assertEquals(MAX_OPEN, journalled().size());
+        assertEquals(MAX_OPEN, pendingInJournal().size());
     }
 
     @Test
-    void theSameIdIsTakenOnce() throws Exception {
+    void acceptsTheSameIdOnce() throws Exception {
         script(Stub.silent());
         start();
-        handIn("one", "order");
-        handIn("one", "order");
-        assertEquals(1, journalled().size());
+        submit("one", "order");
+        submit("one", "order");
+        assertEquals(1, pendingInJournal().size());
     }
 
     @Test
-    void aClientThatGoesBeforeItsRequestIsWholeIsOwedNothing() throws Exception {
+    void ignoresAnIncompleteRequestOfADisconnectedClient() throws Exception {
         start();
         Socket gone = client();
         String whole = message("gone", "order", "hello");
         Stub.write(gone, whole.substring(0, whole.length() - 2));
         gone.close();
-        handIn("one", "order");
-        awaitNothingHeld();
+        submit("one", "order");
+        awaitJournalEmpty();
         assertEquals(List.of("one"), calls().stream().map(c -> c.header("X-Call-Id")).toList());
     }
 
-    // ---- the end ----
+    // ---- shutdown ----
 
     @Test
-    void aDrainTakesThenClosesAndLetsCallsOutFinish() throws Exception {
+    void drainAnswersOpenConnectionsAndWaitsForCallsInFlight() throws Exception {
         script(Stub.silent());
         start(60_000);
         Socket kept = client();
@@ -921,7 +932,7 @@
         Stub.await("the call", () -> calls().size() == 1);
         Thread drain = new Thread(sender::drain);
         drain.start();
-        Stub.await("no new connection is taken", () -> {
+        Stub.await("no new connection is accepted", () -> {
             try {
                 client().close();
                 return false;
@@ -933,30 +944,30 @@
         assertEquals("202", last.line().split(" ")[1], "a request on a kept connection is still answered");
         assertEquals("close", last.header("Connection"));
         assertEquals(-1, kept.getInputStream().read());
-        assertTrue(drain.isAlive(), "calls out are waited for");
+        assertTrue(drain.isAlive(), "the drain waits for calls in flight");
         Stub.await("both calls", () -> calls().size() == 2);
         for (Stub endpoint : endpoints) {
             endpoint.answerAll("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         }
         drain.join();
-        assertTrue(journalled().isEmpty());
+        assertTrue(pendingInJournal().isEmpty());
     }
 
     @Test
-    void aDrainEndsInTimeAndTheJournalHoldsTheRest() throws Exception {
+    void drainEndsInTimeAndLeavesPendingMessagesInTheJournal() throws Exception {
         script(Stub.silent());
         start();
-        handIn("one", "order");
+        submit("one", "order");
         Stub.await("the call", () -> calls().size() == 1);
         sender.drain();
-        assertEquals("one", journalled().get(0).id);
-        assertEquals(1, journalled().get(0).attempts.size());
+        assertEquals("one", pendingInJournal().get(0).id);
+        assertEquals(1, pendingInJournal().get(0).attempts.size());
     }
 
     // ---- recovery ----
 
-    /** Leaves a journal whose clock read this, with room for as much as a test likes. */
-    private Journal earlier(ProcessClock.Reference clock) throws IOException {
+    /** Opens a journal with this clock reference and 40 MB of room. */
+    private Journal openJournal(ProcessClock.Reference clock) throws IOException {
         return new Journal(folder.resolve("state"), 40_000_000, 12, clock, FileChannel::open);
     }
 
@@ -975,30 +986,30 @@
     }
 
     @Test
-    void overdueMessagesAreEndedBeforeTheFirstCall() throws Exception {
+    void answersOverdueMessagesBeforeTheFirstCall() throws Exception {
         ProcessClock clock = ProcessClock.system();
         List<String> overdue = new ArrayList<>();
-        try (Journal journal = earlier(clock.reference())) {
+        try (Journal journal = openJournal(clock.reference())) {
             for (int i = 0; i < 5000; i++) {
-                PendingMessage held = order(journal, "order", clock.wallMs() + (i % 5 < 2 ? -1000 - i : 600_000));
-                journal.recordAccepted(held);
+                PendingMessage pending = order(journal, "order", clock.wallMs() + (i % 5 < 2 ? -1000 - i : 600_000));
+                journal.recordAccepted(pending);
                 if (i % 5 < 2) {
-                    overdue.add(held.id);
+                    overdue.add(pending.id);
                 }
             }
         }
         start();
         Stub.await("a notice for each", () -> notices.size() >= 2000);
         Stub.await("a call", () -> !calls().isEmpty());
-        long told = agent.requests.stream().filter(r -> r.line().startsWith("POST"))
+        long noticeNanos = agent.requests.stream().filter(r -> r.line().startsWith("POST"))
                 .mapToLong(Stub.Message::atNanos).min().orElseThrow();
-        long called = calls().stream().mapToLong(Stub.Message::atNanos).min().orElseThrow();
-        assertTrue(told < called, "the first notice is out before the first call");
-        // Ends by 256 a turn, the rest by 64.
-        Stub.await("all is back", () -> sender.recoveryBatches() == 8 + 47);
+        long callNanos = calls().stream().mapToLong(Stub.Message::atNanos).min().orElseThrow();
+        assertTrue(noticeNanos < callNanos, "the first notice is sent before the first call");
+        // 256 final answers per event-loop iteration, then 64 restored messages per iteration.
+        Stub.await("all messages are restored", () -> sender.recoveryBatches() == 8 + 47);
         Set<String> refs = new HashSet<>();
         for (String notice : List.copyOf(notices)) {
-            assertTrue(refs.add(notice), "told twice: " + notice);
+            assertTrue(refs.add(notice), "sent twice: " + notice);
         }
         for (String id : overdue) {
             assertTrue(refs.contains("{\"ref\":\"" + id + "\",\"result\":\"bounced\"}"), id);
@@ -1006,84 +1017,84 @@
         assertEquals(2000, refs.size());
     }
 
-    /** A recorded journal of 120 messages, at every step of their lives, and where its records end. */
-    private record Recorded(byte[] whole, List<Long> ends) {
+    /** A journal of 120 messages in all states, and the offsets at which its records end. */
+    private record RecordedJournal(byte[] whole, List<Long> ends) {
     }
 
-    private Recorded recorded() throws Exception {
+    private RecordedJournal recordJournal() throws Exception {
         ProcessClock clock = ProcessClock.system();
         List<Long> ends = new ArrayList<>();
-        try (Journal journal = earlier(clock.reference())) {
+        try (Journal journal = openJournal(clock.reference())) {
             for (int i = 0; i < 120; i++) {
-                PendingMessage held = order(journal, i % 2 == 0 ? "order" : "once", clock.wallMs() + 600_000);
-                journal.recordAccepted(held);
+                PendingMessage pending = order(journal, i % 2 == 0 ? "order" : "once", clock.wallMs() + 600_000);
+                journal.recordAccepted(pending);
                 ends.add(journal.size());
                 if (i % 3 > 0) {
-                    journal.recordAttempt(held, new PendingMessage.Attempt("s-" + i % 2, clock.wallMs()));
+                    journal.recordAttempt(pending, new PendingMessage.Attempt("s-" + i % 2, clock.wallMs()));
                     ends.add(journal.size());
                 }
                 if (i % 9 == 1) {
-                    journal.recordNeverRan(held, 0);
+                    journal.recordNeverRan(pending, 0);
                 }
                 if (i % 9 == 2) {
-                    journal.recordAnswer(held, new PendingMessage.Notice(i % 2 == 0
+                    journal.recordAnswer(pending, new PendingMessage.Notice(i % 2 == 0
                             ? PendingMessage.FinalAnswer.REFUSED : PendingMessage.FinalAnswer.FAILED, 0));
                 }
                 if (i % 9 == 4) {
-                    journal.recordCompleted(held);
+                    journal.recordCompleted(pending);
                 }
                 ends.add(journal.size());
             }
         }
-        return new Recorded(Files.readAllBytes(folder.resolve("state/journal")), ends);
+        return new RecordedJournal(Files.readAllBytes(folder.resolve("state/journal")), ends);
     }
 
-    /** Leaves the journal cut at the end of a record or within the next one; returns what it holds. */
-    private List<PendingMessage> cut(Recorded recorded, Random random, boolean atEnd) throws Exception {
+    /** Writes the journal, cut at the end of a record or within the next one; returns the messages pending in it. */
+    private List<PendingMessage> cut(RecordedJournal recorded, Random random, boolean atEnd) throws Exception {
         long boundary = recorded.ends.get(random.nextInt(recorded.ends.size()));
         int cut = (int) (atEnd ? boundary : Math.min(recorded.whole.length, boundary + 1 + random.nextInt(50)));
         Files.write(folder.resolve("state/journal"), Arrays.copyOf(recorded.whole, cut));
         notices.clear();
         endpoints.forEach(e -> e.requests.clear());
-        return journalled();
+        return pendingInJournal();
     }
 
-    /** None runs against its class, none ends twice; those that may be sent are sent once. */
-    private void assertOneEndEach(List<PendingMessage> held, String where) {
-        for (PendingMessage h : held) {
+    /** Each message is either sent once or gets one notice, as its class allows. */
+    private void assertOneFinalAnswerEach(List<PendingMessage> pending, String where) {
+        for (PendingMessage h : pending) {
             boolean mayHaveRun = h.attempts.stream().anyMatch(a -> !a.neverRan);
             long expected = h.pendingNotice.isPresent() || h.messageClass.equals("once") && mayHaveRun ? 0 : 1;
             assertEquals(expected, callsOf(h.id), "calls of " + h.id + where);
             assertEquals(1 - expected, noticesOf(h.id), "notices of " + h.id + where);
         }
-        assertEquals(held.size(), calls().size() + notices.size(), where);
+        assertEquals(pending.size(), calls().size() + notices.size(), where);
     }
 
-    /** Cut at a sample of bytes, record ends and others: each message has one end, none runs against its class. */
+    /** The journal is cut at sampled offsets, at record ends and within records; each message gets one final answer. */
     @Test
-    void killedAnywhereEachMessageHasOneEnd() throws Exception {
-        Recorded recorded = recorded();
+    void endsEachMessageOnceAfterAKillAtAnyOffset() throws Exception {
+        RecordedJournal recorded = recordJournal();
         Random random = new Random(3);
         for (int sample = 0; sample < 24; sample++) {
-            List<PendingMessage> held = cut(recorded, random, sample % 2 == 0);
+            List<PendingMessage> pending = cut(recorded, random, sample % 2 == 0);
             start();
-            awaitNothingHeld();
+            awaitJournalEmpty();
             sender.kill();
             sender = null;
-            assertOneEndEach(held, ", sample " + sample);
+            assertOneFinalAnswerEach(pending, ", sample " + sample);
         }
     }
 
-    /** The same of the program itself, killed by SIGKILL while it takes up what it holds, and started again. */
+    /** The same for the program as a process, killed by SIGKILL while it restores its pending messages, and started again. */
     @Test
-    void theProcessKilledInItsRecoveryGivesEachMessageItsEnd() throws Exception {
-        Recorded recorded = recorded();
+    void endsEachMessageAfterTheProcessIsKilledDuringRecovery() throws Exception {
+        RecordedJournal recorded = recordJournal();
         config();
         Random random = new Random(7);
         for (int sample = 0; sample < 4; sample++) {
-            List<PendingMessage> held = cut(recorded, random, sample % 2 == 0);
+            List<PendingMessage> pending = cut(recorded, random, sample % 2 == 0);
             if (sample > 1) {
-                // No answer: its calls are out when it is killed.
+                // Endpoints do not answer, so calls are in flight when the process is killed.
                 script(Stub.silent());
                 Process first = process();
                 Stub.await("a call or an end", () -> calls().size() + notices.size() > 0);
@@ -1091,50 +1102,50 @@
                 script(Stub.status(200, ""));
             }
             Process process = process();
-            awaitNothingHeld();
+            awaitJournalEmpty();
             process.destroyForcibly().waitFor();
-            for (PendingMessage h : held) {
-                assertTrue(callsOf(h.id) + noticesOf(h.id) >= 1, h.id + " has its end, sample " + sample);
+            for (PendingMessage h : pending) {
+                assertTrue(callsOf(h.id) + noticesOf(h.id) >= 1, h.id + " gets its final answer, sample " + sample);
                 assertTrue(!h.messageClass.equals("once") || callsOf(h.id) <= 1, h.id + " must not run twice");
             }
             if (sample <= 1) {
-                assertOneEndEach(held, ", sample " + sample);
+                assertOneFinalAnswerEach(pending, ", sample " + sample);
             }
         }
     }
 
     @Test
-    void twoKillsWithinTheRecoveryLoseNothing() throws Exception {
+    void losesNoMessageByTwoKillsDuringRecovery() throws Exception {
         ProcessClock clock = ProcessClock.system();
         List<PendingMessage> all = new ArrayList<>();
-        try (Journal journal = earlier(clock.reference())) {
+        try (Journal journal = openJournal(clock.reference())) {
             for (int i = 0; i < 300; i++) {
-                PendingMessage held = order(journal, i % 2 == 0 ? "order" : "once",
+                PendingMessage pending = order(journal, i % 2 == 0 ? "order" : "once",
                         clock.wallMs() + (i % 10 == 0 ? -500 : 600_000));
-                journal.recordAccepted(held);
-                all.add(held);
+                journal.recordAccepted(pending);
+                all.add(pending);
             }
         }
         start();
         sender.kill();
         start();
-        Stub.await("it has begun to send", () -> !calls().isEmpty());
-        killAndStart();
-        awaitNothingHeld();
+        Stub.await("the first call after the restart", () -> !calls().isEmpty());
+        restart();
+        awaitJournalEmpty();
         for (PendingMessage h : all) {
             long notices = noticesOf(h.id);
             long calls = callsOf(h.id);
-            assertTrue(calls + notices >= 1, h.id + " has an end");
+            assertTrue(calls + notices >= 1, h.id + " gets a final answer");
             assertTrue(h.messageClass.equals("order") || calls <= 1, h.id + " must not run twice");
         }
         assertTrue(all.stream().filter(h -> h.deadlineMs < clock.wallMs()).allMatch(h -> callsOf(h.id) == 0));
     }
 
-    /** The wall clock goes back by five minutes between two lives: a keyed window that has passed stays passed. */
+    /** The wall clock is set back by 5 min between two processes: a deduplication window that is over must stay over. */
     @Test
-    void aClockThatIsSetBackOpensNoWindowAgain() throws Exception {
+    void reopensNoWindowWhenTheClockIsSetBack() throws Exception {
         long wall = System.currentTimeMillis();
-        try (Journal journal = earlier(new ProcessClock.Reference(wall, 1000, 9))) {
+        try (Journal journal = openJournal(new ProcessClock.Reference(wall, 1000, 9))) {
             PendingMessage late = order(journal, "order", wall + 60_000);
             journal.recordAccepted(late);
             journal.recordAttempt(late, new PendingMessage.Attempt("s-0", wall));
@@ -1143,21 +1154,21 @@
         sender = new Daemon(config(), Daemon.ACCEPTING_MS, Daemon.CLOSING_MS,
                 new ProcessClock(wall - 300_000 + 25_000, 26_000, 9));
         address = sender.start();
-        Stub.await("both ends", () -> notices.size() == 2);
-        assertEquals(List.of(), calls(), "one is past its window, the other past its time");
+        Stub.await("both final answers", () -> notices.size() == 2);
+        assertEquals(List.of(), calls(), "one message is past its window, the other past its deadline");
     }
 
-    /** A handler that holds up the loop for two seconds: what became due is ended, and what came in is answered. */
+    /** The event loop is blocked for 2 s: due messages get their final answer, and new requests are answered. */
     @Test
-    void aLoopThatWasHeldUpEndsWhatIsDueAndRefusesWhatItCannotEnd() throws Exception {
+    void endsDueMessagesAndRefusesNewOnesAfterABlockedEventLoop() throws Exception {
         script(Stub.silent());
         start();
         String soon = message("soon", "order", "hello").replace("X-Budget-Ms: 24000", "X-Budget-Ms: 1000");
         assertEquals("HTTP/1.1 202 Accepted", ask(client(), soon).line());
-        CountDownLatch held = new CountDownLatch(1);
+        CountDownLatch blocked = new CountDownLatch(1);
         sender.loop().execute(() -> {
             try {
-                held.await();
+                blocked.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -1170,7 +1181,7 @@
         }
         long until = System.nanoTime() + 2_000_000_000L;
         Stub.await("two seconds", () -> System.nanoTime() > until);
-        held.countDown();
+        blocked.countDown();
         Stub.await("its notice", () -> noticesOf("soon") == 1);
         int behind = 0;
         for (Socket socket : crowd) {
@@ -1180,11 +1191,11 @@
                 assertTrue(Double.parseDouble(answer.header("Retry-After")) > 0);
             }
         }
-        assertTrue(behind > 0, "it takes on less while it is late");
-        Stub.await("it takes messages again", () -> {
+        assertTrue(behind > 0, "a late sender refuses some requests");
+        Stub.await("it accepts messages again", () -> {
             try {
                 return !ask(client(), message("later", "order", "x")).line().contains("503")
-                        || journalled().size() >= MAX_OPEN;
+                        || pendingInJournal().size() >= MAX_OPEN;
             } catch (IOException e) {
                 throw new AssertionError(e);
             }
@@ -1192,41 +1203,41 @@
     }
 
     @Test
-    void anIdThatIsOverIsKnownInTheNextLife() throws Exception {
+    void recognisesTheIdOfAnEndedMessageAfterARestart() throws Exception {
         start();
-        handIn("one", "order");
-        awaitNothingHeld();
+        submit("one", "order");
+        awaitJournalEmpty();
         script(Stub.status(500, ""));
-        handIn("two", "once");
+        submit("two", "once");
         awaitNotice("{\"ref\":\"two\",\"result\":\"dead\"}");
-        killAndStart();
+        restart();
         assertEquals("202", ask(client(), message("one", "order", "hello")).line().split(" ")[1]);
         assertEquals("409", ask(client(), message("two", "order", "hello")).line().split(" ")[1]);
         assertEquals(2, calls().size());
     }
 
     @Test
-    void aPaceGoesOnInTheNextLife() throws Exception {
+    void recordsTheSendRateInTheJournal() throws Exception {
         script(Stub.status(503, ""));
         start();
-        handIn("one", "order");
-        Stub.await("a pace", () -> !journalled(Journal::sendRates).isEmpty());
-        DeliveryPolicy.SendRate pace = journalled(Journal::sendRates).get(new Journal.SendRateKey(7, ""));
-        assertTrue(pace.perMs() > 0 && pace.perMs() < Double.POSITIVE_INFINITY, pace.toString());
+        submit("one", "order");
+        Stub.await("a send rate", () -> !readJournal(Journal::sendRates).isEmpty());
+        DeliveryPolicy.SendRate rate = readJournal(Journal::sendRates).get(new Journal.SendRateKey(7, ""));
+        assertTrue(rate.perMs() > 0 && rate.perMs() < Double.POSITIVE_INFINITY, rate.toString());
     }
 
-    /** The program itself, as a process: SIGKILL loses nothing, and SIGTERM ends it by its own will. */
+    /** The program as a process: SIGKILL loses no message, and SIGTERM makes it shut down by itself. */
     @Test
-    void theProcessOutlivesItsSignals() throws Exception {
+    void losesNothingBySigkillAndExitsOnSigterm() throws Exception {
         script(Stub.silent());
         config();
         Process first = process();
-        handIn("one", "order");
+        submit("one", "order");
         Stub.await("the call", () -> calls().size() == 1);
         first.destroyForcibly().waitFor();
         script(Stub.status(200, ""));
         Process second = process();
-        awaitNothingHeld();
+        awaitJournalEmpty();
         assertEquals(2, calls().size());
         second.destroy();
         assertNotEquals(137, second.waitFor());
