--- a/src/main/java/slipfield/client/SenderConnection.java
+++ b/src/main/java/slipfield/client/SenderConnection.java
@@ -137,7 +137,7 @@
         fail(cause.toString());
     }
 
-    /** Closes the connection and reports it. */
+    /** Closes the connection and reports it with this reason, unless it is closed already. */
     private void fail(String reason) {
         if (!closed) {
             boolean requestWritten = awaitingResponse && written;
--- a/src/test/java/slipfield/daemon/AmqpFramesTest.java
+++ b/src/test/java/slipfield/daemon/AmqpFramesTest.java
@@ -72,7 +72,7 @@
         }
     }
 
-    private static int closed(RawPeer peer, MethodId close) throws IOException {
+    private static int awaitClose(RawPeer peer, MethodId close) throws IOException {
         for (Frame frame = peer.next(); frame != null; frame = peer.next()) {
             if (frame instanceof Frame.OfMethod m && m.method().id() == close) {
                 return (int) m.method().number("reply-code");
--- a/src/test/java/slipfield/daemon/SenderTest.java
+++ b/src/test/java/slipfield/daemon/SenderTest.java
@@ -583,7 +583,7 @@
 
     /**
      * A message without any attempt fails only when the client's whole time limit is over. The reserve that the sender subtracts
-     * from it may be used for a first attempt, as users were promised.
+     * from it may be used for a first attempt; users require this.
      */
     @Test
     void attemptsAnUntriedMessageDuringItsReserve() throws Exception {
