--- a/src/test/java/slipfield/daemon/RawPeer.java
+++ b/src/test/java/slipfield/daemon/RawPeer.java
@@ -100,7 +100,7 @@
                 throw new IOException("closed: " + m.method().text("reply-text"));
             }
         }
-        throw new IOException("closed while waiting for " + id);
+        throw new IOException("closed before " + id + " arrived");
     }
 
     @Override
