--- a/src/main/java/slipfield/daemon/AmqpComponents.java
+++ b/src/main/java/slipfield/daemon/AmqpComponents.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import slipfield.amqp.AmqpConfig;
-import slipfield.amqp.client.Brokers;
+import slipfield.amqp.client.BrokerLinks;
 import slipfield.amqp.server.AmqpServer;
 import slipfield.amqp.server.ConnectionReport;
 import slipfield.config.BadInput;
@@ -18,16 +18,16 @@
 import slipfield.core.Frontend;
 import slipfield.core.MessageIntake;
 import slipfield.core.Transport;
-import slipfield.front.amqp.Publications;
+import slipfield.front.amqp.PublisherFrontend;
 import slipfield.journal.PendingAnswer;
 import slipfield.state.BackgroundJsonFile;
 import slipfield.work.Worker;
-import slipfield.transport.amqp.Queues;
+import slipfield.transport.amqp.ConsumerTransport;
 
 /** The components that AMQP adds to a sender. Their classes are loaded only if the operator has set a file for AMQP. */
 final class AmqpComponents {
     /** The name of the answer channel and of the directory. */
-    static final String NAME = Publications.NAME;
+    static final String NAME = PublisherFrontend.NAME;
 
     /** The status file of the AMQP connections, in the state folder. */
     static final String VIEW = "amqp.json";
@@ -38,8 +38,8 @@
 
     private final AmqpConfig config;
     private AmqpServer server;
-    private Queues queues;
-    private Publications publications;
+    private ConsumerTransport queues;
+    private PublisherFrontend publishers;
     private final BackgroundJsonFile view;
     private EventLoop loop;
     private String epoch;
@@ -50,7 +50,7 @@
     }
 
     static AmqpComponents read(Path file, Config sender) throws IOException, BadInput {
-        return new AmqpComponents(AmqpConfig.read(file, new AmqpConfig.Known(sender.classes(), sender.tenants(),
+        return new AmqpComponents(AmqpConfig.read(file, new AmqpConfig.KnownNames(sender.classes(), sender.tenants(),
                 sender.kinds(), sender.zones())), sender.state());
     }
 
@@ -67,14 +67,14 @@
         epoch = Long.toHexString(System.currentTimeMillis());
         server = new AmqpServer(loop, config, epoch);
         this.loop = loop;
-        queues = new Queues(loop, config.limits().awayMs(), listener);
+        queues = new ConsumerTransport(loop, config.limits().awayMs(), listener);
         return new RoutingTransport(network, queues);
     }
 
     AnswerChannel answerChannel(Consumer<PendingAnswer> acknowledged) {
-        publications = new Publications(server, config.routes(), acknowledged);
-        server.over(publications, queues);
-        return publications;
+        publishers = new PublisherFrontend(server, config.routes(), acknowledged);
+        server.setHandlers(publishers, queues);
+        return publishers;
     }
 
     Directory directory() {
@@ -95,12 +95,12 @@
     }
 
     List<InetSocketAddress> addresses() {
-        return publications.addresses();
+        return publishers.addresses();
     }
 
     Frontend frontend(MessageIntake messageIntake) throws IOException {
-        publications.over(messageIntake, new Brokers(loop, config, epoch, queues, publications));
+        publishers.setIntake(messageIntake, new BrokerLinks(loop, config, epoch, queues, publishers));
         writeView();
-        return publications;
+        return publishers;
     }
 }
--- a/src/main/java/slipfield/daemon/Daemon.java
+++ b/src/main/java/slipfield/daemon/Daemon.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import slipfield.agent.Agent;
+import slipfield.agent.AgentClient;
 import slipfield.amqp.server.ConnectionReport;
 import slipfield.config.BadInput;
 import slipfield.config.Config;
@@ -25,7 +25,7 @@
 import slipfield.directory.Discovery;
 import slipfield.directory.merged.Members;
 import slipfield.fleet.Asking;
-import slipfield.front.http.Intake;
+import slipfield.front.http.HttpFrontend;
 import slipfield.journal.AnswerRecipient;
 import slipfield.journal.ProcessClock;
 import slipfield.journal.PendingAnswer;
@@ -34,7 +34,7 @@
 import slipfield.outcome.ends.ClientsConfig;
 import slipfield.outcome.PlatformNotices;
 import slipfield.trace.Trace;
-import slipfield.transport.http.Endpoints;
+import slipfield.transport.http.HttpTransport;
 
 /** A sender with the components that its configuration names, and its signal handlers. */
 public final class Daemon implements SenderComponents {
@@ -54,10 +54,10 @@
     private final int maxClients;
     private final int maxIdle;
     private InetSocketAddress agentAddress;
-    private Endpoints endpoints;
+    private HttpTransport endpoints;
     private PlatformNotices notices;
     private Discovery discovery;
-    private Intake intake;
+    private HttpFrontend intake;
     /** Null unless the operator has set a file of endpoint sources; without it none of their classes are loaded. */
     private Members members;
     /** Null unless the operator has set a file of settings for clients. */
@@ -182,8 +182,8 @@
         Log.info("config.reloaded", "discovery", Config.hostPort(address));
         if (!address.equals(agentAddress)) {
             agentAddress = address;
-            discovery.moveTo(new Agent(sender.loop(), address));
-            notices.switchAgent(() -> new Agent(sender.loop(), address));
+            discovery.moveTo(new AgentClient(sender.loop(), address));
+            notices.switchAgent(() -> new AgentClient(sender.loop(), address));
         }
     }
 
@@ -208,13 +208,13 @@
 
     @Override
     public Transport transport(EventLoop loop, Transport.AttemptListener listener) {
-        endpoints = new Endpoints(loop, config.connectTimeoutMs(), config.settings().keepAliveMs(), maxIdle, listener);
+        endpoints = new HttpTransport(loop, config.connectTimeoutMs(), config.settings().keepAliveMs(), maxIdle, listener);
         return amqp == null ? endpoints : amqp.transport(endpoints, loop, background(loop).worker(), listener);
     }
 
     @Override
     public Map<String, AnswerChannel> answerChannels(EventLoop loop, Consumer<PendingAnswer> acknowledged) {
-        notices = new PlatformNotices(loop, () -> new Agent(loop, agentAddress), acknowledged);
+        notices = new PlatformNotices(loop, () -> new AgentClient(loop, agentAddress), acknowledged);
         Map<String, AnswerChannel> channels = new LinkedHashMap<>();
         channels.put(AnswerRecipient.PLATFORM.channel(), notices);
         if (clients != null && clients.ends().isPresent()) {
@@ -230,7 +230,7 @@
 
     @Override
     public Map<String, Directory> directories(EventLoop loop) {
-        discovery = new Discovery(loop, new Agent(loop, agentAddress), config.knownEndpoints(),
+        discovery = new Discovery(loop, new AgentClient(loop, agentAddress), config.knownEndpoints(),
                 new Asking(config.settings().senders(), new SplittableRandom(config.seed())));
         Map<String, Directory> directories = new LinkedHashMap<>();
         if (members == null) {
@@ -247,15 +247,15 @@
 
     @Override
     public List<Frontend> frontends(EventLoop loop, MessageIntake messageIntake) throws IOException {
-        intake = new Intake(loop, config.listen(), maxClients, messageIntake, clients == null ? Intake.Hints.NONE
-                : new Intake.Hints(clients.reconnectMs(), clients.waitScope(), Optional.ofNullable(clientAnswers)));
+        intake = new HttpFrontend(loop, config.listen(), maxClients, messageIntake, clients == null ? HttpFrontend.Extensions.NONE
+                : new HttpFrontend.Extensions(clients.reconnectMs(), clients.waitScope(), Optional.ofNullable(clientAnswers)));
         return amqp == null ? List.of(intake) : List.of(intake, amqp.frontend(messageIntake));
     }
 
     @Override
     public void enableTrace(Trace trace) {
-        endpoints.traced(trace);
-        intake.traced(trace);
+        endpoints.setTrace(trace);
+        intake.setTrace(trace);
     }
 
     @Override
--- a/src/main/java/slipfield/daemon/WarmUp.java
+++ b/src/main/java/slipfield/daemon/WarmUp.java
@@ -7,11 +7,11 @@
 import java.util.concurrent.TimeUnit;
 import slipfield.config.Config;
 import slipfield.core.MessageIntake;
-import slipfield.front.http.Intake;
+import slipfield.front.http.HttpFrontend;
 import slipfield.journal.AnswerRecipient;
 import slipfield.journal.PendingMessage;
 import slipfield.policy.DeliveryPolicy;
-import slipfield.transport.http.Endpoints;
+import slipfield.transport.http.HttpTransport;
 
 /**
  * Warms up the JVM before the sender listens: passes artificial messages through a client frontend, a delivery policy and an
@@ -33,8 +33,8 @@
     private final Runnable then;
     private final long startNanos = System.nanoTime();
     private final DeliveryPolicy.Settings settings;
-    private final Intake intake;
-    private final Endpoints endpoints;
+    private final HttpFrontend intake;
+    private final HttpTransport endpoints;
     private final PendingMessage message;
     private final Discard discard = new Discard();
     private final DeliveryPolicy policy;
@@ -47,8 +47,8 @@
         this.maxNanos = TimeUnit.MILLISECONDS.toNanos(maxMs);
         this.then = then;
         this.settings = config.settings();
-        this.intake = new Intake(loop, config.listen(), Integer.MAX_VALUE, discard);
-        this.endpoints = new Endpoints(loop, 1000, 1000, 0, (attempt, outcome, gone, waitMs, limitReport) -> { });
+        this.intake = new HttpFrontend(loop, config.listen(), Integer.MAX_VALUE, discard);
+        this.endpoints = new HttpTransport(loop, 1000, 1000, 0, (attempt, outcome, gone, waitMs, limitReport) -> { });
         this.message = new PendingMessage(0, "0123456789abcdef", "rehearsal", "", Optional.of("0123456789abcdef"), 1, 0,
                 new byte[2]);
         this.policy = DeliveryPolicy.create(settings, 0, discard);
@@ -69,9 +69,9 @@
         }
         for (int i = 0; i < SLICE; i++) {
             processed++;
-            intake.rehearse(request);
+            intake.warmUp(request);
             decide();
-            endpoints.rehearse(message, RESPONSE);
+            endpoints.warmUp(message, RESPONSE);
         }
         loop.schedule(this::runSlice, 0, TimeUnit.MILLISECONDS);
     }
