--- a/src/main/java/slipfield/policy/EndpointHealth.java
+++ b/src/main/java/slipfield/policy/EndpointHealth.java
@@ -170,7 +170,7 @@
             wasInService = state == State.UP && now - downAt > warmUpMs;
             downAt = now;
             callsFailed = false;
-            change(State.DOWN, symptom + ", probes only");
+            change(State.DOWN, symptom + ", trials only");
         }
     }
 
--- a/src/main/java/slipfield/work/decide/Scheduler.java
+++ b/src/main/java/slipfield/work/decide/Scheduler.java
@@ -355,7 +355,7 @@
         }
         entry.kindState.thrown++;
         if (++entry.throwsInRow >= MAX_THROWS) {
-            events.add("gave up " + entry.job.name() + ": it threw " + MAX_THROWS + " times in a row");
+            events.add("set aside " + entry.job.name() + ": it threw " + MAX_THROWS + " times in a row");
             remove(entry, false);
         } else {
             setDue(entry, now + Math.min(MAX_PAUSE_MS, FIRST_PAUSE_MS * Math.pow(2, entry.throwsInRow - 1)));
--- a/src/test/java/slipfield/rig/FailingCallsTest.java
+++ b/src/test/java/slipfield/rig/FailingCallsTest.java
@@ -270,7 +270,7 @@
         long asked = venue.asked();
         await("calls out", () -> venue.asked() > asked + 5);
         calls.fail(Call.FILE_WRITE, Errno.EIO, 1);
-        await("the outage seen", () -> log().contains("probes only"));
+        await("the outage seen", () -> log().contains("trials only"));
         int struck = calls.struck(Call.FILE_WRITE);
         await("writes that fail after it", () -> calls.struck(Call.FILE_WRITE) > struck + 5);
         calls.heal();
--- a/src/test/java/slipfield/work/decide/SchedulerTest.java
+++ b/src/test/java/slipfield/work/decide/SchedulerTest.java
@@ -294,7 +294,7 @@
             }
         }
         assertEquals(List.of(0.0, 100.0, 300.0, 700.0, 1500.0, 3100.0, 6300.0, 12_700.0), attempts);
-        assertEquals(List.of("gave up bad: it threw 8 times in a row", "cancelled dependent: bad was not completed"),
+        assertEquals(List.of("set aside bad: it threw 8 times in a row", "cancelled dependent: bad was not completed"),
                 s.takeEvents());
         assertTrue(good > 290, "other jobs must go on: " + good);
         assertEquals(1, s.jobCount());
