--- a/src/main/java/slipfield/Main.java
+++ b/src/main/java/slipfield/Main.java
@@ -2,7 +2,7 @@
 
 import slipfield.cli.Cli;
 import slipfield.daemon.Daemon;
-import slipfield.sim.Drill;
+import slipfield.sim.SimulatorAdapter;
 
 /**
  * The program. {@code serve} and {@code simhost} by themselves go their way at once, lest a start load what only the
@@ -17,7 +17,7 @@
         String alone = args.length == 1 ? args[0] : "";
         System.exit(switch (alone) {
             case "serve" -> Daemon.serve(System.getenv());
-            case "simhost" -> Drill.serve();
+            case "simhost" -> SimulatorAdapter.serve();
             default -> commandLine(args);
         });
     }
--- a/src/main/java/slipfield/cli/Cli.java
+++ b/src/main/java/slipfield/cli/Cli.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Spec;
 import slipfield.config.Config;
 import slipfield.daemon.Daemon;
-import slipfield.sim.Drill;
+import slipfield.sim.SimulatorAdapter;
 
 /** All commands, with their help. */
 @Command(name = "slipfield", mixinStandardHelpOptions = true, version = "slipfield 0.1",
@@ -58,7 +58,7 @@
     static final class Simhost implements Callable<Integer> {
         @Override
         public Integer call() {
-            return Drill.serve();
+            return SimulatorAdapter.serve();
         }
     }
 }
--- a/src/main/java/slipfield/cli/MembersCommand.java
+++ b/src/main/java/slipfield/cli/MembersCommand.java
@@ -17,7 +17,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import slipfield.directory.merged.Members;
+import slipfield.directory.merged.MergedDirectory;
 
 /** The merged view of a sender's endpoints, as it last wrote it. */
 @Command(name = "members", mixinStandardHelpOptions = true, sortOptions = false,
@@ -37,7 +37,8 @@
 
     @Override
     public Integer call() {
-        Optional<JsonNode> read = Views.read(folder, Members.VIEW, "members", "does the sender run with SLIPFIELD_MEMBERS set, "
+        Optional<JsonNode> read = Views.read(folder, MergedDirectory.VIEW_FILE, "members",
+                "does the sender run with SLIPFIELD_MEMBERS set, "
                 + "and this GW_STATE?", spec.commandLine().getErr());
         if (read.isEmpty()) {
             return 2;
--- a/src/main/java/slipfield/daemon/Daemon.java
+++ b/src/main/java/slipfield/daemon/Daemon.java
@@ -23,8 +23,8 @@
 import slipfield.core.SenderComponents;
 import slipfield.core.Transport;
 import slipfield.directory.Discovery;
-import slipfield.directory.merged.Members;
-import slipfield.fleet.Asking;
+import slipfield.directory.merged.MergedDirectory;
+import slipfield.fleet.DiscoveryBackoff;
 import slipfield.front.http.HttpFrontend;
 import slipfield.journal.AnswerRecipient;
 import slipfield.journal.ProcessClock;
@@ -59,7 +59,7 @@
     private Discovery discovery;
     private HttpFrontend intake;
     /** Null unless the operator has set a file of endpoint sources; without it none of their classes are loaded. */
-    private Members members;
+    private MergedDirectory members;
     /** Null unless the operator has set a file of settings for clients. */
     private ClientsConfig clients;
     private ClientAnswers clientAnswers;
@@ -104,7 +104,7 @@
     /** Starts the sender and returns the address that its HTTP clients connect to. */
     public InetSocketAddress start() throws IOException, BadInput {
         if (config.members().isPresent()) {
-            members = Members.read(config.members().get(), config.state());
+            members = MergedDirectory.read(config.members().get(), config.state());
         }
         if (config.clients().isPresent()) {
             clients = ClientsConfig.read(config.clients().get());
@@ -115,7 +115,7 @@
         addresses = sender.start();
         InetSocketAddress address = addresses.get(0);
         if (members != null) {
-            members.listening(address);
+            members.register(address);
         }
         return address;
     }
@@ -138,7 +138,7 @@
     /** Shuts down gracefully, within the time before SIGKILL. */
     public void drain() {
         if (members != null) {
-            members.leaving(DEREGISTER_MS);
+            members.deregister(DEREGISTER_MS);
         }
         sender.drain();
         closeBackground();
@@ -182,7 +182,7 @@
         Log.info("config.reloaded", "discovery", Config.hostPort(address));
         if (!address.equals(agentAddress)) {
             agentAddress = address;
-            discovery.moveTo(new AgentClient(sender.loop(), address));
+            discovery.switchAgent(new AgentClient(sender.loop(), address));
             notices.switchAgent(() -> new AgentClient(sender.loop(), address));
         }
     }
@@ -231,12 +231,12 @@
     @Override
     public Map<String, Directory> directories(EventLoop loop) {
         discovery = new Discovery(loop, new AgentClient(loop, agentAddress), config.knownEndpoints(),
-                new Asking(config.settings().senders(), new SplittableRandom(config.seed())));
+                new DiscoveryBackoff(config.settings().senders(), new SplittableRandom(config.seed())));
         Map<String, Directory> directories = new LinkedHashMap<>();
         if (members == null) {
             directories.put("platform", discovery);
         } else {
-            members.over(loop, background(loop).worker(), discovery);
+            members.attach(loop, background(loop).worker(), discovery);
             directories.put("members", members);
         }
         if (amqp != null) {
--- a/src/main/java/slipfield/directory/Discovery.java
+++ b/src/main/java/slipfield/directory/Discovery.java
@@ -22,7 +22,7 @@
 import slipfield.config.Config;
 import slipfield.core.Directory;
 import slipfield.core.Sender;
-import slipfield.fleet.Asking;
+import slipfield.fleet.DiscoveryBackoff;
 import slipfield.log.Log;
 import slipfield.trace.Flow;
 
@@ -44,7 +44,7 @@
     private final EventLoop loop;
     private AgentClient agent;
     private final Optional<JsonNode> known;
-    private final Asking asking;
+    private final DiscoveryBackoff backoff;
     private EndpointListener lists;
     private final ObjectMapper json = JsonMapper.builder().build();
     private long generation = -1;
@@ -52,12 +52,12 @@
     /** The pause before the next question, if there is one. */
     private Optional<Future<?>> pause = Optional.empty();
 
-    /** {@code known}: the list that the configuration knew, if any; when it is asked again, {@code asking} decides. */
-    public Discovery(EventLoop loop, AgentClient agent, Optional<JsonNode> known, Asking asking) {
+    /** {@code known}: the list that the configuration knew, if any; when it is asked again, {@code backoff} decides. */
+    public Discovery(EventLoop loop, AgentClient agent, Optional<JsonNode> known, DiscoveryBackoff backoff) {
         this.loop = loop;
         this.agent = agent;
         this.known = known;
-        this.asking = asking;
+        this.backoff = backoff;
     }
 
     @Override
@@ -77,7 +77,7 @@
      * Asks another agent from now on. Its generations are of another reckoning, so it begins with the whole
      * list; what the old one might still say is not waited for.
      */
-    public void moveTo(AgentClient other) {
+    public void switchAgent(AgentClient other) {
         agent.close();
         pause.ifPresent(p -> p.cancel(false));
         agent = other;
@@ -108,8 +108,9 @@
                 Log.warn("discovery.away");
             }
         }
-        long pauseMs = asking.pause(read ? Asking.Answer.LIST
-                : answer.isEmpty() ? Asking.Answer.NONE : listed ? Asking.Answer.SPOILT : Asking.Answer.TURNED_AWAY, tookMs);
+        long pauseMs = backoff.pause(read ? DiscoveryBackoff.Result.LIST
+                : answer.isEmpty() ? DiscoveryBackoff.Result.NONE : listed ? DiscoveryBackoff.Result.UNUSABLE
+                : DiscoveryBackoff.Result.REJECTED, tookMs);
         if (pauseMs == 0) {
             watch();
         } else {
--- a/src/main/java/slipfield/directory/consul/Access.java
+++ b/src/main/java/slipfield/directory/consul/AgentAccess.java
@@ -18,7 +18,7 @@
 import slipfield.log.Log;
 
 /** How Consul's agents are reached: which, with what token, over what. On the event loop of the consul package. */
-final class Access {
+final class AgentAccess {
     private static final String TOKEN = "X-Consul-Token";
 
     private final ConsulSettings settings;
@@ -26,7 +26,7 @@
     private Optional<String> token = Optional.empty();
     private boolean tokenRead;
 
-    Access(ConsulSettings settings) throws BadInput {
+    AgentAccess(ConsulSettings settings) throws BadInput {
         this.settings = settings;
         this.tls = settings.tls().isPresent() ? Optional.of(context(settings.tls().get())) : Optional.empty();
     }
--- a/src/main/java/slipfield/directory/consul/Watch.java
+++ b/src/main/java/slipfield/directory/consul/BlockingQuery.java
@@ -25,7 +25,7 @@
  * A blocking query that is asked for ever: one connection, one question at a time, one agent after the other where they
  * fail. Consul's pages "Blocking Queries" and "Consistency Modes".
  */
-final class Watch {
+final class BlockingQuery {
     /** An answer that is so much later than its wait will not come. */
     private static final long ANSWER_MS = 400;
     /** A whole list may be megabytes, read on a core that has other work. */
@@ -50,7 +50,7 @@
     }
 
     private final EventLoop loop;
-    private final Access access;
+    private final AgentAccess access;
     private final String path;
     /** What an answer begins with. An answer whose index is not new is read no further than that. */
     private final char opening;
@@ -71,7 +71,7 @@
     private boolean look;
     private boolean stopped;
 
-    Watch(EventLoop loop, Access access, String path, char opening, String nothing, Listener listener) {
+    BlockingQuery(EventLoop loop, AgentAccess access, String path, char opening, String nothing, Listener listener) {
         this.loop = loop;
         this.access = access;
         this.path = path;
--- a/src/main/java/slipfield/directory/consul/ConsulDirectory.java
+++ b/src/main/java/slipfield/directory/consul/ConsulDirectory.java
@@ -31,7 +31,7 @@
     /** Is told, on the thread of this package's own loop. */
     public interface Listener {
         /** The whole list as Consul has it now. */
-        void said(List<Instance> whole);
+        void instancesChanged(List<Instance> whole);
 
         /** Nothing has changed. */
         void confirmed();
@@ -48,10 +48,10 @@
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final Access access;
+    private final AgentAccess access;
     private final ConsulSettings settings;
     private Listener listener;
-    private final Map<String, Watch> watches = new HashMap<>();
+    private final Map<String, BlockingQuery> watches = new HashMap<>();
     private final Map<String, List<Instance>> lists = new TreeMap<>();
     /** Services that can't be read now. */
     private final Map<String, String> failing = new TreeMap<>();
@@ -64,7 +64,7 @@
     /** Reads certificates, if any; asks nothing yet. */
     public ConsulDirectory(ConsulSettings settings) throws BadInput {
         this.settings = settings;
-        this.access = new Access(settings);
+        this.access = new AgentAccess(settings);
     }
 
     /** Begins to watch; {@code recalled} is what an earlier life heard last. */
@@ -76,7 +76,7 @@
             }
             settings.services().keySet().forEach(this::watch);
             if (!settings.tag().isEmpty()) {
-                new Watch(loop, access, "/v1/catalog/services", '{', "", new Catalogue()).start();
+                new BlockingQuery(loop, access, "/v1/catalog/services", '{', "", new Catalogue()).start();
             }
         });
     }
@@ -85,7 +85,7 @@
         if (watches.containsKey(service)) {
             return;
         }
-        Watch watch = new Watch(loop, access, "/v1/health/service/" + encoded(service), '[', NOTHING,
+        BlockingQuery watch = new BlockingQuery(loop, access, "/v1/health/service/" + encoded(service), '[', NOTHING,
                 new Health(service));
         watches.put(service, watch);
         watch.start();
@@ -95,10 +95,10 @@
         return URLEncoder.encode(segment, StandardCharsets.UTF_8).replace("+", "%20");
     }
 
-    private void said() {
+    private void instancesChanged() {
         List<Instance> whole = new ArrayList<>();
         lists.values().forEach(whole::addAll);
-        listener.said(whole);
+        listener.instancesChanged(whole);
     }
 
     private void failed(String what, String why) {
@@ -113,7 +113,7 @@
     }
 
     /** One service's health. */
-    private final class Health implements Watch.Listener {
+    private final class Health implements BlockingQuery.Listener {
         private final String service;
 
         Health(String service) {
@@ -128,7 +128,7 @@
             boolean recovered = recovered(service);
             if (first || !now.equals(lists.get(service))) {
                 lists.put(service, now);
-                said();
+                instancesChanged();
                 // One part of it was read; that others are not is still to be told.
                 failing.forEach((what, why) -> listener.failed(what + ": " + why));
             } else if (recovered) {
@@ -150,7 +150,7 @@
     }
 
     /** Which services bear the tag. One that does no longer stays watched: its instances end by their own list. */
-    private final class Catalogue implements Watch.Listener {
+    private final class Catalogue implements BlockingQuery.Listener {
         private static final String NAME = "the catalogue";
 
         @Override
@@ -200,7 +200,7 @@
     }
 
     /** Watches that are on, each with a connection. */
-    public int watching() {
+    public int queryCount() {
         return loop.submit(watches::size).syncUninterruptibly().getNow();
     }
 
--- a/src/main/java/slipfield/directory/consul/Registration.java
+++ b/src/main/java/slipfield/directory/consul/Registration.java
@@ -30,7 +30,7 @@
     private static final int TTLS_TILL_GONE = 6;
 
     private final EventLoop loop;
-    private final Access access;
+    private final AgentAccess access;
     private final ConsulSettings.Register as;
     private final InetSocketAddress address;
     private final String id;
@@ -42,7 +42,7 @@
     private boolean troubled;
     private Optional<Future<?>> next = Optional.empty();
 
-    Registration(EventLoop loop, Access access, ConsulSettings.Register as, InetSocketAddress address) {
+    Registration(EventLoop loop, AgentAccess access, ConsulSettings.Register as, InetSocketAddress address) {
         this.loop = loop;
         this.access = access;
         this.as = as;
--- a/src/main/java/slipfield/directory/merged/Members.java
+++ b/src/main/java/slipfield/directory/merged/MergedDirectory.java
@@ -26,9 +26,9 @@
  * The merged directory. The membership module is asked on the core's loop, so that the platform's word takes no longer
  * way than without it; Consul is read on a loop of its own and hands over what it has read.
  */
-public final class Members implements Directory, AutoCloseable {
+public final class MergedDirectory implements Directory, AutoCloseable {
     /** The file of the kept view, in the state folder. */
-    public static final String VIEW = "members.json";
+    public static final String VIEW_FILE = "members.json";
     /** The view is written at most so often. */
     private static final long WRITE_MS = 500;
 
@@ -51,7 +51,7 @@
     private Future<?> write;
     private Map<Long, Long> held = Map.of();
 
-    private Members(MembersConfig config, Path state) throws BadInput {
+    private MergedDirectory(MembersConfig config, Path state) throws BadInput {
         this.config = config;
         this.membership = new Membership(config.rules(), config.precedence());
         this.consul = config.consul().isPresent() ? Optional.of(new ConsulDirectory(config.consul().get()))
@@ -62,12 +62,12 @@
     }
 
     /** Reads the operator's file, and makes the directory of it that keeps its view in this folder. */
-    public static Members read(Path path, Path state) throws IOException, BadInput {
-        return new Members(MembersConfig.read(path), state);
+    public static MergedDirectory read(Path path, Path state) throws IOException, BadInput {
+        return new MergedDirectory(MembersConfig.read(path), state);
     }
 
     /** On this loop, with this worker for what nobody waits for, with the platform's list where the configuration's precedence names it. */
-    public void over(EventLoop core, Worker worker, Directory list) {
+    public void attach(EventLoop core, Worker worker, Directory list) {
         loop = core;
         file.by(worker);
         if (config.precedence().contains(MembersConfig.PLATFORM)) {
@@ -99,7 +99,7 @@
         }
         from.start(kept.instances(), new ConsulDirectory.Listener() {
             @Override
-            public void said(List<Instance> whole) {
+            public void instancesChanged(List<Instance> whole) {
                 loop.execute(() -> {
                     consulHeard = true;
                     recovered();
@@ -117,7 +117,7 @@
 
             @Override
             public void failed(String why) {
-                loop.execute(() -> Members.this.failed(why));
+                loop.execute(() -> MergedDirectory.this.failed(why));
             }
         });
     }
@@ -214,12 +214,12 @@
     }
 
     /** The sender listens at this address now. */
-    public void listening(InetSocketAddress address) {
+    public void register(InetSocketAddress address) {
         consul.ifPresent(c -> c.register(address));
     }
 
     /** The sender is about to end: fronts are to find others. */
-    public void leaving(long mostMs) {
+    public void deregister(long mostMs) {
         consul.ifPresent(c -> c.deregister(mostMs));
     }
 
--- a/src/main/java/slipfield/directory/merged/ViewFile.java
+++ b/src/main/java/slipfield/directory/merged/ViewFile.java
@@ -35,7 +35,7 @@
     }
 
     ViewFile(Path folder) {
-        this.file = new BackgroundJsonFile(folder.resolve(Members.VIEW), "members.view_unwritable");
+        this.file = new BackgroundJsonFile(folder.resolve(MergedDirectory.VIEW_FILE), "members.view_unwritable");
     }
 
     /** It is written by this worker. */
--- a/src/main/java/slipfield/fleet/Asking.java
+++ b/src/main/java/slipfield/fleet/DiscoveryBackoff.java
@@ -13,15 +13,15 @@
  * after it is back. There the pause stays short, and is drawn only so that senders do not ask in step. A list that came and
  * can't be used is the same: it cost its asker nothing to wait for, and what it said has to be heard soon.
  */
-public final class Asking {
+public final class DiscoveryBackoff {
     /** What came of a call. */
-    public enum Answer {
+    public enum Result {
         /** What was asked for. */
         LIST,
         /** An answer that tells nothing: there is a discovery, and it has too much to do. */
-        TURNED_AWAY,
+        REJECTED,
         /** A list that can't be used: what it tells counts as told all the same. */
-        SPOILT,
+        UNUSABLE,
         /** None, in its time. */
         NONE
     }
@@ -54,7 +54,7 @@
     private int turnedAway;
 
     /** One of so many {@code senders}; pauses are drawn from {@code random}, which must differ from sender to sender. */
-    public Asking(int senders, RandomGenerator random) {
+    public DiscoveryBackoff(int senders, RandomGenerator random) {
         this.random = random;
         this.firstMs = Math.min(MOST_MS, Math.max(FIRST_LEAST_MS, FIRST_EACH_MS * (long) senders));
     }
@@ -65,12 +65,12 @@
      *
      * @param tookMs how long the answer took, beyond what it was allowed to wait for news
      */
-    public long pause(Answer answer, double tookMs) {
+    public long pause(Result answer, double tookMs) {
         switch (answer) {
             case LIST:
                 turnedAway = 0;
                 return tookMs < SLOW_MS ? 0 : (long) (random.nextDouble() * Math.min(firstMs, UNWATCHED_MOST_MS));
-            case TURNED_AWAY:
+            case REJECTED:
                 double bound = Math.min(MOST_MS, firstMs * (1 << Math.min(turnedAway++, DOUBLINGS)));
                 return (long) (bound * (LEAST_SHARE + (1 - LEAST_SHARE) * random.nextDouble()));
             default:
--- a/src/main/java/slipfield/sim/Drill.java
+++ b/src/main/java/slipfield/sim/SimulatorAdapter.java
@@ -22,7 +22,7 @@
 import slipfield.policy.DeliveryPolicy;
 
 /** The adapter: the simulator's wire to {@link DeliveryPolicy} and back, for many instances. It decides nothing. */
-public final class Drill {
+public final class SimulatorAdapter {
     private final BufferedReader in;
     private final PrintStream out;
     private final PrintStream err;
@@ -33,7 +33,7 @@
     private long lineNumber;
     private double now;
 
-    public Drill(InputStream in, PrintStream out, PrintStream err) {
+    public SimulatorAdapter(InputStream in, PrintStream out, PrintStream err) {
         this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
         this.out = out;
         this.err = err;
@@ -42,7 +42,7 @@
     /** Speaks the wire on standard input and output until the input ends; returns the exit code as {@link #run} does. */
     public static int serve() {
         OutputStream out = new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), 1 << 16);
-        return new Drill(System.in, new PrintStream(out, false, StandardCharsets.UTF_8), System.err).run();
+        return new SimulatorAdapter(System.in, new PrintStream(out, false, StandardCharsets.UTF_8), System.err).run();
     }
 
     /** Answers batches until input ends; returns the exit code: 0, or 1 after input that can't be read. */
--- a/src/test/java/slipfield/directory/DiscoveryTest.java
+++ b/src/test/java/slipfield/directory/DiscoveryTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Test;
 import slipfield.agent.AgentClient;
 import slipfield.core.Directory;
-import slipfield.fleet.Asking;
+import slipfield.fleet.DiscoveryBackoff;
 import slipfield.standin.Stub;
 
 /** The platform's list where discovery has too much to do, or says what can't be meant. */
@@ -43,7 +43,8 @@
 
     private void start(Stub.Script script, Optional<JsonNode> known) throws Exception {
         stub = new Stub(script);
-        discovery = new Discovery(loop, new AgentClient(loop, stub.address()), known, new Asking(14, new SplittableRandom(5)));
+        discovery = new Discovery(loop, new AgentClient(loop, stub.address()), known,
+                new DiscoveryBackoff(14, new SplittableRandom(5)));
         loop.submit(() -> discovery.start((whole, entries) -> {
             if (whole) {
                 wholes.incrementAndGet();
--- a/src/test/java/slipfield/directory/consul/ConsulDirectoryTest.java
+++ b/src/test/java/slipfield/directory/consul/ConsulDirectoryTest.java
@@ -50,7 +50,7 @@
         private final AtomicInteger confirmed = new AtomicInteger();
 
         @Override
-        public void said(List<Instance> whole) {
+        public void instancesChanged(List<Instance> whole) {
             lists.add(whole);
         }
 
@@ -144,7 +144,7 @@
         start(VENUE, first);
         Stub.await("it is confirmed", () -> heard.confirmed.get() >= 3);
         assertEquals(1, heard.lists.size());
-        assertEquals(1, directory.watching());
+        assertEquals(1, directory.queryCount());
     }
 
     @Test
--- a/src/test/java/slipfield/fleet/AskingTest.java
+++ b/src/test/java/slipfield/fleet/DiscoveryBackoffTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import slipfield.fleet.Asking.Answer;
+import slipfield.fleet.DiscoveryBackoff.Result;
 
-class AskingTest {
+class DiscoveryBackoffTest {
     /** When each sender first heard a list, in ms from the moment at which all asked; and the calls of the busiest second. */
     private record Outcome(double[] heardAt, long calls) {
         double last() {
@@ -31,10 +31,10 @@
         double timeoutMs = 2000;
         double[] heardAt = new double[senders];
         Arrays.fill(heardAt, Double.POSITIVE_INFINITY);
-        Asking[] askings = new Asking[senders];
+        DiscoveryBackoff[] backoffs = new DiscoveryBackoff[senders];
         PriorityQueue<double[]> due = new PriorityQueue<>(Comparator.comparingDouble(d -> d[0]));
         for (int i = 0; i < senders; i++) {
-            askings[i] = new Asking(senders, new SplittableRandom(seed + i));
+            backoffs[i] = new DiscoveryBackoff(senders, new SplittableRandom(seed + i));
             due.add(new double[] {0, i});
         }
         double freeAt = 0;
@@ -52,7 +52,7 @@
                 continue;
             }
             double answered = refused ? call[0] : call[0] + timeoutMs;
-            due.add(new double[] {answered + askings[i].pause(Answer.TURNED_AWAY, answered - call[0]), i});
+            due.add(new double[] {answered + backoffs[i].pause(Result.REJECTED, answered - call[0]), i});
         }
         return new Outcome(heardAt, calls);
     }
@@ -73,15 +73,15 @@
     @Test
     void pausesAfterRefusalsAreSpreadAndGrowToABound() {
         for (int senders : List.of(0, 1, 14, 1000)) {
-            Asking asking = new Asking(senders, new SplittableRandom(7));
+            DiscoveryBackoff backoff = new DiscoveryBackoff(senders, new SplittableRandom(7));
             double first = Math.min(30_000, Math.max(1000, 250 * senders));
             for (int i = 0; i < 40; i++) {
                 double bound = Math.min(30_000, first * Math.pow(2, Math.min(i, 3)));
-                long pause = asking.pause(Answer.TURNED_AWAY, 5);
+                long pause = backoff.pause(Result.REJECTED, 5);
                 assertTrue(pause >= bound / 4 - 1 && pause <= bound, pause + " of " + bound);
             }
-            asking.pause(Answer.LIST, 1);
-            assertTrue(asking.pause(Answer.TURNED_AWAY, 5) <= first, "a list ends the growth");
+            backoff.pause(Result.LIST, 1);
+            assertTrue(backoff.pause(Result.REJECTED, 5) <= first, "a list ends the growth");
         }
     }
 
@@ -89,10 +89,10 @@
     void aDiscoveryThatIsSilentIsAskedAgainSoonAndNotInStep() {
         Deque<Long> pauses = new ArrayDeque<>();
         for (long seed = 0; seed < 14; seed++) {
-            Asking asking = new Asking(14, new SplittableRandom(seed));
+            DiscoveryBackoff backoff = new DiscoveryBackoff(14, new SplittableRandom(seed));
             for (int i = 0; i < 30; i++) {
-                pauses.add(asking.pause(Answer.NONE, 2500));
-                pauses.add(asking.pause(Answer.SPOILT, 2500));
+                pauses.add(backoff.pause(Result.NONE, 2500));
+                pauses.add(backoff.pause(Result.UNUSABLE, 2500));
             }
         }
         assertTrue(pauses.stream().allMatch(p -> p >= 100 && p <= 600), pauses.toString());
@@ -101,12 +101,12 @@
 
     @Test
     void aWatchGoesOnAtOnceUnlessTheListBeforeItWasSlow() {
-        Asking asking = new Asking(14, new SplittableRandom(3));
-        assertEquals(0, asking.pause(Answer.LIST, 3));
-        assertEquals(0, asking.pause(Answer.LIST, -2990), "news came before the wait was over");
+        DiscoveryBackoff backoff = new DiscoveryBackoff(14, new SplittableRandom(3));
+        assertEquals(0, backoff.pause(Result.LIST, 3));
+        assertEquals(0, backoff.pause(Result.LIST, -2990), "news came before the wait was over");
         long later = 0;
         for (int i = 0; i < 50; i++) {
-            long pause = asking.pause(Answer.LIST, 800);
+            long pause = backoff.pause(Result.LIST, 800);
             assertTrue(pause <= 1000, "pause " + pause);
             later += pause > 200 ? 1 : 0;
         }
@@ -120,9 +120,9 @@
     @ParameterizedTest
     @CsvSource({"1", "3", "14", "97", "300", "10000"})
     void noFleetIsSoLargeThatADrainGoesUnwatched(int senders) {
-        Asking asking = new Asking(senders, new SplittableRandom(senders));
+        DiscoveryBackoff backoff = new DiscoveryBackoff(senders, new SplittableRandom(senders));
         for (int i = 0; i < 1000; i++) {
-            assertTrue(asking.pause(Answer.LIST, 100 + i) <= 1000);
+            assertTrue(backoff.pause(Result.LIST, 100 + i) <= 1000);
         }
     }
 }
--- a/src/test/java/slipfield/sim/DrillTest.java
+++ b/src/test/java/slipfield/sim/SimulatorAdapterTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The adapter's reading and writing of the wire. */
-class DrillTest {
+class SimulatorAdapterTest {
     private static final String SETTINGS = "classes.count=1"
             + " classes.0.aim_ms=2000.0 classes.0.give_up_ms=16000.0 "
             + "classes.0.repeat=safe fleet_size=2 family_info.workers=10 family_info.batch_by_kind=1,5 "
@@ -30,7 +30,7 @@
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         ByteArrayInputStream in = new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8));
-        code = new Drill(in, new PrintStream(out, true, StandardCharsets.UTF_8),
+        code = new SimulatorAdapter(in, new PrintStream(out, true, StandardCharsets.UTF_8),
                 new PrintStream(err, true, StandardCharsets.UTF_8)).run();
         errors = err.toString(StandardCharsets.UTF_8);
         return out.toString(StandardCharsets.UTF_8);
