--- a/src/main/java/slipfield/directory/Discovery.java
+++ b/src/main/java/slipfield/directory/Discovery.java
@@ -27,17 +27,17 @@
 import slipfield.trace.Flow;
 
 /**
- * The list of endpoints: what the configuration knew, then the whole list, then a watch on what changes. It
- * is never waited for; while discovery is silent the last list stands.
+ * The platform's endpoint list. Starts with the list from the configuration, if any, then fetches the whole list from the
+ * agent and long-polls for changes. Nothing blocks on it; while discovery doesn't answer, the last list stays in use.
  */
 public final class Discovery implements Directory {
-    /** A change counts as told 2 s after the end of a call's wait, so the wait is short. */
+    /** Wait of a long poll. Short, because a change counts as reported 2 s after the end of a call's wait. */
     private static final long WAIT_MS = 3000;
     /**
-     * An answer that is so late will not come: the connection was cut, or discovery is down. One that has much to do
-     * says so after 2 s; to give up before would leave it the work of a call that nobody waits for.
+     * Time-out of an answer beyond its wait; after it the connection is assumed cut or discovery down. An overloaded
+     * discovery answers with an error after 2 s; a shorter time-out would leave it working on an abandoned call.
      */
-    private static final long SILENT_MS = 2500;
+    private static final long TIMEOUT_MS = 2500;
 
     private static final Set<String> STATES = Set.of("SERVING", "DRAINING", "DELETED");
 
@@ -45,14 +45,19 @@
     private AgentClient agent;
     private final Optional<JsonNode> known;
     private final DiscoveryBackoff backoff;
-    private EndpointListener lists;
+    private EndpointListener listener;
     private final ObjectMapper json = JsonMapper.builder().build();
     private long generation = -1;
-    private boolean silent;
-    /** The pause before the next question, if there is one. */
+    private boolean unavailable;
+    /** The scheduled next request, if one is waiting for its pause to pass. */
     private Optional<Future<?>> pause = Optional.empty();
 
-    /** {@code known}: the list that the configuration knew, if any; when it is asked again, {@code backoff} decides. */
+    /**
+     * Creates the directory; sends nothing yet.
+     *
+     * @param known the list from the configuration, if any
+     * @param backoff decides when discovery is asked again
+     */
     public Discovery(EventLoop loop, AgentClient agent, Optional<JsonNode> known, DiscoveryBackoff backoff) {
         this.loop = loop;
         this.agent = agent;
@@ -65,43 +70,43 @@
         return generation >= 0;
     }
 
-    /** Takes over what the configuration knew, if anything, and asks for the rest from now on. */
+    /** Reports the list from the configuration, if any, and begins to fetch the list from the agent. */
     @Override
-    public void start(EndpointListener told) {
-        lists = told;
-        known.ifPresent(list -> take(list, true));
-        ask("/v1/servers", 0);
+    public void start(EndpointListener listener) {
+        this.listener = listener;
+        known.ifPresent(list -> report(list, true));
+        request("/v1/servers", 0);
     }
 
     /**
-     * Asks another agent from now on. Its generations are of another reckoning, so it begins with the whole
-     * list; what the old one might still say is not waited for.
+     * Switches to another agent. Generations of different agents can't be compared, so the whole list is fetched first;
+     * a pending answer of the previous agent is dropped.
      */
     public void switchAgent(AgentClient other) {
         agent.close();
         pause.ifPresent(p -> p.cancel(false));
         agent = other;
         generation = -1;
-        watch();
+        poll();
     }
 
-    private void ask(String path, long waitMs) {
+    private void request(String path, long waitMs) {
         if (Sender.FLOW_ENABLED) {
             Flow.step("list_asked", path);
         }
-        long asked = System.nanoTime();
-        agent.send(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path), waitMs + SILENT_MS,
-                answer -> answered(answer, (System.nanoTime() - asked) / 1e6 - waitMs));
+        long sentNanos = System.nanoTime();
+        agent.send(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path), waitMs + TIMEOUT_MS,
+                answer -> onAnswer(answer, (System.nanoTime() - sentNanos) / 1e6 - waitMs));
     }
 
-    private void answered(Optional<FullHttpResponse> answer, double tookMs) {
+    private void onAnswer(Optional<FullHttpResponse> answer, double tookMs) {
         if (Sender.FLOW_ENABLED) {
             Flow.step("list_answered", answer.map(a -> a.status().code() + " " + a.content().readableBytes()).orElse("none"));
         }
-        boolean listed = answer.filter(a -> a.status().code() == 200).isPresent();
-        boolean read = listed && read(answer.get());
-        if (silent == read) {
-            silent = !read;
+        boolean ok = answer.filter(a -> a.status().code() == 200).isPresent();
+        boolean read = ok && read(answer.get());
+        if (unavailable == read) {
+            unavailable = !read;
             if (read) {
                 Log.info("discovery.back");
             } else {
@@ -109,21 +114,21 @@
             }
         }
         long pauseMs = backoff.pause(read ? DiscoveryBackoff.Result.LIST
-                : answer.isEmpty() ? DiscoveryBackoff.Result.NONE : listed ? DiscoveryBackoff.Result.UNUSABLE
+                : answer.isEmpty() ? DiscoveryBackoff.Result.NONE : ok ? DiscoveryBackoff.Result.UNUSABLE
                 : DiscoveryBackoff.Result.REJECTED, tookMs);
         if (pauseMs == 0) {
-            watch();
+            poll();
         } else {
-            pause = Optional.of(loop.schedule(this::watch, pauseMs, TimeUnit.MILLISECONDS));
+            pause = Optional.of(loop.schedule(this::poll, pauseMs, TimeUnit.MILLISECONDS));
         }
     }
 
-    /** Before the first answer the whole list is asked for: what was known may be of another reckoning. */
-    private void watch() {
+    /** Long-polls for changes, or fetches the whole list while no generation of this agent is known. */
+    private void poll() {
         if (generation < 0) {
-            ask("/v1/servers", 0);
+            request("/v1/servers", 0);
         } else {
-            ask("/v1/servers?after=" + generation + "&wait_ms=" + WAIT_MS, WAIT_MS);
+            request("/v1/servers?after=" + generation + "&wait_ms=" + WAIT_MS, WAIT_MS);
         }
     }
 
@@ -133,16 +138,16 @@
             if (!list.path("generation").isIntegralNumber() || !list.path("instances").isArray()) {
                 return false;
             }
-            long told = list.path("generation").asLong();
+            long received = list.path("generation").asLong();
             boolean whole = list.path("reset").asBoolean();
-            if (!whole && told < generation) {
-                // Changes from before what is known would undo it, a drain perhaps: the whole list settles it.
-                Log.warn("discovery.older", "told", told, "known", generation);
+            if (!whole && received < generation) {
+                // Older changes could undo newer ones, such as a drain: fetch the whole list instead.
+                Log.warn("discovery.older", "told", received, "known", generation);
                 generation = -1;
                 return false;
             }
-            generation = told;
-            take(list, whole);
+            generation = received;
+            report(list, whole);
             return true;
         } catch (IOException e) {
             Log.warn("discovery.unreadable", "cause", e);
@@ -150,7 +155,7 @@
         }
     }
 
-    private void take(JsonNode list, boolean whole) {
+    private void report(JsonNode list, boolean whole) {
         List<Entry> entries = new ArrayList<>();
         for (JsonNode e : list.path("instances")) {
             try {
@@ -160,7 +165,7 @@
                         e.path("machineType").asText(), e.path("cell").asLong(),
                         state.equals("SERVING"), e.path("weight").asDouble(), state.equals("DELETED")));
                 if (!STATES.contains(state)) {
-                    // Nothing new goes there: it may mean that it must not.
+                    // Treated as not serving: the state may forbid new messages.
                     Log.warn("discovery.state_unknown", "endpoint", e.path("instanceId").asText(), "state", state);
                 }
             } catch (BadInput bad) {
@@ -168,7 +173,7 @@
             }
         }
         if (whole || !entries.isEmpty()) {
-            lists.endpointsChanged(whole, entries);
+            listener.endpointsChanged(whole, entries);
         }
     }
 }
--- a/src/main/java/slipfield/directory/consul/AgentAccess.java
+++ b/src/main/java/slipfield/directory/consul/AgentAccess.java
@@ -17,7 +17,7 @@
 import slipfield.config.Config;
 import slipfield.log.Log;
 
-/** How Consul's agents are reached: which, with what token, over what. On the event loop of the consul package. */
+/** Addresses, ACL token and TLS context for connections to Consul's agents. Used on the consul package's event loop. */
 final class AgentAccess {
     private static final String TOKEN = "X-Consul-Token";
 
@@ -47,25 +47,25 @@
         return settings;
     }
 
-    /** The agent that is asked at the n-th turn. */
-    AgentClient agent(EventLoop loop, int turn) {
-        InetSocketAddress address = address(turn);
+    /** Creates a client for the n-th agent, counted round-robin from 0. */
+    AgentClient agent(EventLoop loop, int n) {
+        InetSocketAddress address = address(n);
         Consumer<Channel> secured = channel -> tls.ifPresent(context -> channel.pipeline()
                 .addLast(context.newHandler(channel.alloc(), address.getHostString(), address.getPort())));
         return new AgentClient(loop, address, secured);
     }
 
-    private InetSocketAddress address(int turn) {
+    private InetSocketAddress address(int n) {
         List<InetSocketAddress> agents = settings.agents();
-        return agents.get(Math.floorMod(turn, agents.size()));
+        return agents.get(Math.floorMod(n, agents.size()));
     }
 
-    String name(int turn) {
-        return Config.hostPort(address(turn));
+    String name(int n) {
+        return Config.hostPort(address(n));
     }
 
-    /** Adds what says where a question is meant. */
-    void scope(QueryStringEncoder query) {
+    /** Adds the datacenter and namespace parameters, if set. */
+    void addScope(QueryStringEncoder query) {
         if (!settings.datacenter().isEmpty()) {
             query.addParam("dc", settings.datacenter());
         }
@@ -74,6 +74,7 @@
         }
     }
 
+    /** Sets the token header, reading the token file first if necessary. */
     void authorize(FullHttpRequest request) {
         if (!tokenRead) {
             tokenRead = true;
@@ -88,8 +89,8 @@
         token.ifPresent(t -> request.headers().set(TOKEN, t));
     }
 
-    /** A token was refused: the file is read again, as it may have been replaced. */
-    void refused() {
+    /** Called after a token was refused: its file is read again for the next request, as it may have been replaced. */
+    void tokenRefused() {
         tokenRead = false;
     }
 }
--- a/src/main/java/slipfield/directory/consul/BlockingIndex.java
+++ b/src/main/java/slipfield/directory/consul/BlockingIndex.java
@@ -3,65 +3,70 @@
 import java.util.Optional;
 
 /**
- * The index of a blocking query, by Consul's page "Blocking Queries": an index that goes back is given up, so is one that
- * is not over 0. What a server says that lags behind is not taken for news. Pure.
+ * Tracks the index of a Consul blocking query (Consul documentation, "Blocking Queries"): an index that decreases or is not
+ * above 0 is reset. Answers of a server that lags behind its leader are discarded. Does no I/O.
  */
 final class BlockingIndex {
-    /** What to make of an answer. */
+    /** How to handle an answer. */
     enum Verdict {
-        /** It is the list as it is now. */
+        /** The answer is the current list. */
         TAKE,
-        /** Nothing is new. */
+        /** Nothing has changed. */
         SAME,
-        /** It may be of another reckoning, after a restore: ask for the whole list, without an index. */
+        /** The index decreased, as after a restore of Consul: ask for the whole list, without an index. */
         RESET,
-        /** The server that answered lags, or has no leader: another is asked. */
+        /** The answering server lags or has no leader: ask another. */
         STALE
     }
 
-    private final long mostStaleMs;
+    private final long maxStaleMs;
     private long index;
-    /** The index of the last list that was taken: an answer without index is of this one's time or later. */
-    private long taken;
-    private final int looks;
-    /** Answers in a row whose index was lower. */
-    private int wentBack;
+    /** The index of the last accepted list that had one; lower indexes count as decreased. */
+    private long lastAccepted;
+    private final int confirmations;
+    /** Consecutive answers with a lower index. */
+    private int decreases;
 
-    /** {@code looks}: an index that went back is believed when it was told so often in a row. */
-    BlockingIndex(long mostStaleMs, int looks) {
-        this.mostStaleMs = mostStaleMs;
-        this.looks = looks;
+    /**
+     * Creates an index of 0.
+     *
+     * @param maxStaleMs answers of servers without contact to their leader for longer are discarded
+     * @param confirmations a decreased index is accepted after this many consecutive answers
+     */
+    BlockingIndex(long maxStaleMs, int confirmations) {
+        this.maxStaleMs = maxStaleMs;
+        this.confirmations = confirmations;
     }
 
-    /** What to ask with; 0: do not block. */
+    /** The index for the next query; 0 for one that does not block. */
     long index() {
         return index;
     }
 
-    /** An answer with these headers, absent where {@code null}. */
+    /** Evaluates the headers of an answer with a list; {@code null} for an absent header. */
     Verdict answered(String consulIndex, String knownLeader, String lastContact) {
         if (stale(knownLeader, lastContact)) {
             return Verdict.STALE;
         }
-        long told = number(consulIndex).orElse(0L);
-        if (told < 1) {
-            // Blocking on it would not block: the list counts, the index does not.
+        long reported = number(consulIndex).orElse(0L);
+        if (reported < 1) {
+            // A query with this index would not block: accept the list, drop the index.
             index = 0;
             return Verdict.TAKE;
         }
-        if (told < taken && ++wentBack < looks) {
-            // A restore, or a server that lags unawares: others are asked before it is believed.
+        if (reported < lastAccepted && ++decreases < confirmations) {
+            // Consul was restored, or the server lags without knowing: ask others before accepting the index.
             index = 0;
             return Verdict.RESET;
         }
-        boolean same = told == taken && index == told && wentBack == 0;
-        wentBack = 0;
-        index = told;
-        taken = told;
+        boolean same = reported == lastAccepted && index == reported && decreases == 0;
+        decreases = 0;
+        index = reported;
+        lastAccepted = reported;
         return same ? Verdict.SAME : Verdict.TAKE;
     }
 
-    /** An answer that had the index only: {@code TAKE} where the whole list is to be looked at. */
+    /** Evaluates the headers of a probe, an answer without the list; {@code TAKE} if the whole list must be fetched. */
     Verdict probed(String consulIndex, String knownLeader, String lastContact) {
         if (stale(knownLeader, lastContact)) {
             return Verdict.STALE;
@@ -70,11 +75,11 @@
     }
 
     private boolean stale(String knownLeader, String lastContact) {
-        return "false".equalsIgnoreCase(knownLeader) || number(lastContact).orElse(0L) > mostStaleMs;
+        return "false".equalsIgnoreCase(knownLeader) || number(lastContact).orElse(0L) > maxStaleMs;
     }
 
-    /** Another agent is asked: its list is looked at whole. */
-    void moved() {
+    /** Resets the index after a change of agent, whose whole list is fetched. */
+    void reset() {
         index = 0;
     }
 
--- a/src/main/java/slipfield/directory/consul/BlockingQuery.java
+++ b/src/main/java/slipfield/directory/consul/BlockingQuery.java
@@ -22,67 +22,67 @@
 import slipfield.config.BadInput;
 
 /**
- * A blocking query that is asked for ever: one connection, one question at a time, one agent after the other where they
- * fail. Consul's pages "Blocking Queries" and "Consistency Modes".
+ * Repeats a blocking query until stopped: one connection, one request at a time, and the next agent when one fails. See
+ * Consul's documentation, "Blocking Queries" and "Consistency Modes".
  */
 final class BlockingQuery {
-    /** An answer that is so much later than its wait will not come. */
-    private static final long ANSWER_MS = 400;
-    /** A whole list may be megabytes, read on a core that has other work. */
-    private static final long WHOLE_MS = 1000;
-    /** Consul adds up to a sixteenth to each wait. */
+    /** Time-out of a blocking query beyond its wait. */
+    private static final long BLOCKING_TIMEOUT_MS = 400;
+    /** Time-out of a query for a whole list, which may be megabytes and is read on a shared CPU core. */
+    private static final long LIST_TIMEOUT_MS = 1000;
+    /** Consul adds up to 1/16 of the wait as jitter. */
     private static final int JITTER = 16;
-    private static final long LEAST_PAUSE_MS = 50;
-    private static final long MOST_PAUSE_MS = 1000;
-    /** Between questions that can't block. */
+    private static final long MIN_PAUSE_MS = 50;
+    private static final long MAX_PAUSE_MS = 1000;
+    /** Pause between queries that can't block. */
     private static final long UNBLOCKED_PAUSE_MS = 200;
 
-    /** Is told what was answered, on the watch's loop. */
+    /** Receives the results, on the query's event loop. */
     interface Listener {
-        /** A list that may be new; an error says that it is of another shape. */
+        /** Handles a list that may have changed; throws if the list has an unexpected format. */
         void read(JsonNode answer) throws BadInput;
 
-        /** Nothing is new. */
+        /** Called when nothing has changed. */
         void same();
 
-        /** No agent could be asked; what stands is the last list. */
+        /** Called when a query failed; the last list stays valid. */
         void failed(String why);
     }
 
     private final EventLoop loop;
     private final AgentAccess access;
     private final String path;
-    /** What an answer begins with. An answer whose index is not new is read no further than that. */
+    /** First character of a valid answer. Of an answer with an unchanged index nothing more is read. */
     private final char opening;
     /**
-     * A filter that nothing passes: a blocking query with it has the index of the whole list and none of its bytes, so
-     * that the list is read when it has changed, and not with each wait that ends. Empty: the list itself is waited for.
+     * A filter that matches nothing. A blocking query with it returns the index of the whole list without its content, so
+     * that the list is transferred only after a change and not after each wait. Empty: the query returns the list itself.
      */
-    private final String nothing;
+    private final String emptyFilter;
     private final Listener listener;
     private final ObjectMapper json = JsonMapper.builder().build();
     private final BlockingIndex index;
     private AgentClient agent;
-    private int asked;
+    private int turn;
     private int failures;
-    /** What is asked now is whether anything has changed. */
+    /** Whether the pending query is a probe: it uses the empty filter to find out if anything has changed. */
     private boolean probing;
-    /** Something has: the whole list is asked for next. */
-    private boolean look;
+    /** Whether a probe saw a change, so that the next query fetches the whole list. */
+    private boolean fetchList;
     private boolean stopped;
 
-    BlockingQuery(EventLoop loop, AgentAccess access, String path, char opening, String nothing, Listener listener) {
+    BlockingQuery(EventLoop loop, AgentAccess access, String path, char opening, String emptyFilter, Listener listener) {
         this.loop = loop;
         this.access = access;
         this.path = path;
         this.opening = opening;
-        this.nothing = nothing;
+        this.emptyFilter = emptyFilter;
         this.listener = listener;
         this.index = new BlockingIndex(access.settings().mostStaleMs(), access.settings().agents().size() + 1);
     }
 
     void start() {
-        agent = access.agent(loop, asked);
+        agent = access.agent(loop, turn);
         ask();
     }
 
@@ -97,17 +97,17 @@
         }
         ConsulSettings settings = access.settings();
         QueryStringEncoder query = new QueryStringEncoder(path);
-        access.scope(query);
-        boolean blocks = index.index() > 0 && !look;
-        probing = blocks && !nothing.isEmpty();
-        String filter = probing ? nothing : settings.filter();
+        access.addScope(query);
+        boolean blocks = index.index() > 0 && !fetchList;
+        probing = blocks && !emptyFilter.isEmpty();
+        String filter = probing ? emptyFilter : settings.filter();
         if (!filter.isEmpty()) {
             query.addParam("filter", filter);
         }
         if (!settings.mode().equals("default")) {
             query.addParam(settings.mode(), "");
         }
-        long limitMs = blocks ? ANSWER_MS : WHOLE_MS;
+        long limitMs = blocks ? BLOCKING_TIMEOUT_MS : LIST_TIMEOUT_MS;
         if (blocks) {
             query.addParam("index", Long.toString(index.index()));
             query.addParam("wait", settings.waitMs() + "ms");
@@ -130,7 +130,7 @@
         int code = response.status().code();
         if (code != 200) {
             if (code == 403) {
-                access.refused();
+                access.tokenRefused();
             }
             fail(switch (response.status().codeClass()) {
                 case REDIRECTION -> "redirected to " + response.headers().get(HttpHeaderNames.LOCATION)
@@ -141,7 +141,7 @@
         }
         ByteBuf body = response.content();
         if (!body.isReadable() || body.getByte(body.readerIndex()) != opening) {
-            fail("its answer is of another shape: it does not begin with " + opening);
+            fail("its answer has an unexpected format: it does not begin with " + opening);
             return;
         }
         take(response);
@@ -149,13 +149,13 @@
 
     private void take(FullHttpResponse response) {
         boolean blocked = index.index() > 0;
-        String told = response.headers().get("X-Consul-Index");
+        String reportedIndex = response.headers().get("X-Consul-Index");
         String leader = response.headers().get("X-Consul-KnownLeader");
         String contact = response.headers().get("X-Consul-LastContact");
-        BlockingIndex.Verdict verdict = probing ? index.probed(told, leader, contact)
-                : index.answered(told, leader, contact);
-        look = probing && verdict == BlockingIndex.Verdict.TAKE;
-        if (look) {
+        BlockingIndex.Verdict verdict = probing ? index.probed(reportedIndex, leader, contact)
+                : index.answered(reportedIndex, leader, contact);
+        fetchList = probing && verdict == BlockingIndex.Verdict.TAKE;
+        if (fetchList) {
             ask();
             return;
         }
@@ -164,58 +164,58 @@
                 try (InputStream in = new ByteBufInputStream(response.content())) {
                     listener.read(json.readTree(in));
                 } catch (IOException | BadInput e) {
-                    index.moved();
+                    index.reset();
                     fail("its answer can't be read: " + e.getMessage());
                     return;
                 }
-                goOn(blocked);
+                scheduleNext(blocked);
             }
             case SAME -> {
                 listener.same();
-                goOn(blocked);
+                scheduleNext(blocked);
             }
             case RESET -> {
-                // The same agent, if it is the only one.
-                move();
+                // Reconnects to the same agent if there is only one.
+                switchAgent();
                 ask();
             }
             case STALE -> fail("its server has no leader or lags behind it");
         }
     }
 
-    /** After an answer that counts; without an index the next question will not block. */
-    private void goOn(boolean blocked) {
+    /** Continues after a valid answer; without an index the next query does not block, so it is delayed. */
+    private void scheduleNext(boolean blocked) {
         failures = 0;
         if (index.index() > 0) {
             ask();
         } else {
-            later(blocked ? LEAST_PAUSE_MS : UNBLOCKED_PAUSE_MS);
+            askAfter(blocked ? MIN_PAUSE_MS : UNBLOCKED_PAUSE_MS);
         }
     }
 
-    private void move() {
+    private void switchAgent() {
         agent.close();
-        index.moved();
-        look = false;
-        agent = access.agent(loop, ++asked);
+        index.reset();
+        fetchList = false;
+        agent = access.agent(loop, ++turn);
     }
 
-    /** The next agent at once; when all have failed, after a pause that grows, with jitter. */
+    /** Asks the next agent at once; after all have failed, waits with exponential backoff and jitter. */
     private void fail(String why) {
-        String at = access.name(asked);
+        String at = access.name(turn);
         failures++;
-        move();
+        switchAgent();
         int round = access.settings().agents().size();
         listener.failed(at + " " + why);
         if (failures % round != 0) {
             ask();
             return;
         }
-        long pause = Math.min(MOST_PAUSE_MS, LEAST_PAUSE_MS << Math.min(10, failures / round - 1));
-        later(pause / 2 + ThreadLocalRandom.current().nextLong(pause / 2 + 1));
+        long pause = Math.min(MAX_PAUSE_MS, MIN_PAUSE_MS << Math.min(10, failures / round - 1));
+        askAfter(pause / 2 + ThreadLocalRandom.current().nextLong(pause / 2 + 1));
     }
 
-    private void later(long ms) {
+    private void askAfter(long ms) {
         loop.schedule(this::ask, ms, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/slipfield/directory/consul/ConsulDirectory.java
+++ b/src/main/java/slipfield/directory/consul/ConsulDirectory.java
@@ -23,27 +23,27 @@
 import slipfield.membership.Instance;
 
 /**
- * What Consul knows of the services that an operator named, or that bear a tag: one blocking query for each, and one for
- * the catalogue where a tag is given. A service that was not read yet stands as an earlier life knew it, so that the
- * list is whole.
+ * Watches the services that the operator named, or that have a tag, in Consul: one blocking query per service, and one for
+ * the catalogue if a tag is set. For a service that was not read yet the list holds the instances known to the previous
+ * process, so that it is complete.
  */
 public final class ConsulDirectory implements AutoCloseable {
-    /** Is told, on the thread of this package's own loop. */
+    /** Receives updates, on the thread of this package's event loop. */
     public interface Listener {
-        /** The whole list as Consul has it now. */
+        /** Called with the current whole list after a change. */
         void instancesChanged(List<Instance> whole);
 
-        /** Nothing has changed. */
+        /** Called when all services were read and nothing has changed. */
         void confirmed();
 
-        /** It can't be read, and why. */
+        /** Called with the reason when a service or the catalogue can't be read. */
         void failed(String why);
     }
 
-    /** A filter that no instance passes. */
-    private static final String NOTHING = "Service.ID == \"\"";
-    /** More than a request may take. */
-    private static final long LEAVING_MS = 1000;
+    /** A filter that no instance matches. */
+    private static final String EMPTY_FILTER = "Service.ID == \"\"";
+    /** Longest wait for the deregistration in {@link #close}; longer than the time-out of a request. */
+    private static final long DEREGISTER_WAIT_MS = 1000;
     private static final ConsulSettings.Mapping UNMAPPED = new ConsulSettings.Mapping(Optional.empty(), "", "");
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -51,26 +51,26 @@
     private final AgentAccess access;
     private final ConsulSettings settings;
     private Listener listener;
-    private final Map<String, BlockingQuery> watches = new HashMap<>();
+    private final Map<String, BlockingQuery> queries = new HashMap<>();
     private final Map<String, List<Instance>> lists = new TreeMap<>();
-    /** Services that can't be read now. */
+    /** What can't be read now, with the reason. */
     private final Map<String, String> failing = new TreeMap<>();
-    /** Services that were read in this life. */
+    /** Services that were read by this process. */
     private final Set<String> read = new TreeSet<>();
     private Registration registration;
-    /** The end of the registration, on the thread that ends the sender. */
-    private Promise<Void> leaving;
+    /** Completes after the deregistration; used by the thread that shuts the sender down. */
+    private Promise<Void> deregistered;
 
-    /** Reads certificates, if any; asks nothing yet. */
+    /** Loads certificates, if any; sends nothing yet. */
     public ConsulDirectory(ConsulSettings settings) throws BadInput {
         this.settings = settings;
         this.access = new AgentAccess(settings);
     }
 
-    /** Begins to watch; {@code recalled} is what an earlier life heard last. */
-    public void start(Collection<Instance> recalled, Listener told) {
+    /** Begins to watch; {@code recalled} is the last list of the previous process. */
+    public void start(Collection<Instance> recalled, Listener receiver) {
         loop.execute(() -> {
-            listener = told;
+            listener = receiver;
             for (Instance instance : recalled) {
                 lists.computeIfAbsent(instance.id().split("/", 2)[0], s -> new ArrayList<>()).add(instance);
             }
@@ -82,13 +82,13 @@
     }
 
     private void watch(String service) {
-        if (watches.containsKey(service)) {
+        if (queries.containsKey(service)) {
             return;
         }
-        BlockingQuery watch = new BlockingQuery(loop, access, "/v1/health/service/" + encoded(service), '[', NOTHING,
+        BlockingQuery query = new BlockingQuery(loop, access, "/v1/health/service/" + encoded(service), '[', EMPTY_FILTER,
                 new Health(service));
-        watches.put(service, watch);
-        watch.start();
+        queries.put(service, query);
+        query.start();
     }
 
     private static String encoded(String segment) {
@@ -106,13 +106,13 @@
         listener.failed(what + ": " + why);
     }
 
-    /** Its trouble is over; the whole is confirmed only when nothing fails and all was read. */
+    /** Clears a failure; returns true if nothing else fails and all watched services were read. */
     private boolean recovered(String what) {
         failing.remove(what);
-        return failing.isEmpty() && read.containsAll(watches.keySet());
+        return failing.isEmpty() && read.containsAll(queries.keySet());
     }
 
-    /** One service's health. */
+    /** Handles the answers about one service's health. */
     private final class Health implements BlockingQuery.Listener {
         private final String service;
 
@@ -129,7 +129,7 @@
             if (first || !now.equals(lists.get(service))) {
                 lists.put(service, now);
                 instancesChanged();
-                // One part of it was read; that others are not is still to be told.
+                // Other services may still fail: report them again.
                 failing.forEach((what, why) -> listener.failed(what + ": " + why));
             } else if (recovered) {
                 listener.confirmed();
@@ -149,14 +149,14 @@
         }
     }
 
-    /** Which services bear the tag. One that does no longer stays watched: its instances end by their own list. */
+    /** Handles the catalogue. A service that loses the tag stays watched: its own list reports when its instances go. */
     private final class Catalogue implements BlockingQuery.Listener {
         private static final String NAME = "the catalogue";
 
         @Override
         public void read(JsonNode answer) throws BadInput {
             TreeSet<String> tagged = HealthReader.tagged(answer, settings.tag())
-                    .orElseThrow(() -> new BadInput("the catalogue's answer is no object"));
+                    .orElseThrow(() -> new BadInput("the catalogue's answer is not an object"));
             tagged.forEach(ConsulDirectory.this::watch);
             same();
         }
@@ -174,7 +174,7 @@
         }
     }
 
-    /** The sender can be connected to at this address: it is registered, if the operator said so. */
+    /** Registers the sender, which listens at this address, if the settings say so. */
     public void register(InetSocketAddress address) {
         settings.register().ifPresent(as -> loop.execute(() -> {
             registration = new Registration(loop, access, as, address);
@@ -183,8 +183,8 @@
     }
 
     /**
-     * Takes the sender's own registration back, so that fronts turn elsewhere; waits for it a moment at most. What is not
-     * answered by then goes on until {@link #close}.
+     * Deregisters the sender, so that frontends connect elsewhere. Waits for at most {@code mostMs}; an unanswered request
+     * continues until {@link #close}.
      */
     public void deregister(long mostMs) {
         Promise<Void> ended = loop.newPromise();
@@ -195,20 +195,20 @@
                 registration.end(() -> ended.setSuccess(null));
             }
         });
-        leaving = ended;
+        deregistered = ended;
         ended.awaitUninterruptibly(mostMs);
     }
 
-    /** Watches that are on, each with a connection. */
+    /** Number of blocking queries for services, each with a connection. */
     public int queryCount() {
-        return loop.submit(watches::size).syncUninterruptibly().getNow();
+        return loop.submit(queries::size).syncUninterruptibly().getNow();
     }
 
-    /** Ends once the registration is taken back, if that is under way, or will not be; nothing is told any more. */
+    /** Waits for a pending deregistration or its time-out, then shuts down; nothing is reported afterwards. */
     @Override
     public void close() {
-        if (leaving != null) {
-            leaving.awaitUninterruptibly(LEAVING_MS);
+        if (deregistered != null) {
+            deregistered.awaitUninterruptibly(DEREGISTER_WAIT_MS);
         }
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
--- a/src/main/java/slipfield/directory/consul/ConsulSettings.java
+++ b/src/main/java/slipfield/directory/consul/ConsulSettings.java
@@ -11,35 +11,36 @@
 import slipfield.settings.Section;
 
 /**
- * What an operator says of Consul.
+ * The operator's settings for Consul.
  *
- * @param agents tried in turn
- * @param services by name: what holds where an instance's metadata doesn't say
- * @param tag services of the catalogue that bear it are watched too; empty: only those that are named
- * @param mode how consistent a read is: {@code default}, {@code stale} or {@code consistent}
- * @param tokenFile read again whenever a token was refused
- * @param waitMs how long a blocking query waits: an agent that hangs is found out so much later
- * @param mostStaleMs an answer of a server that had no contact with its leader for longer is not used
- * @param tls certificates, if the agents are to be asked over TLS
+ * @param agents addresses of the agents, tried in this order
+ * @param services the watched services by name, with defaults for what an instance's metadata doesn't give
+ * @param tag services of the catalogue with this tag are watched too; empty: only the named services
+ * @param mode consistency mode of reads: {@code default}, {@code stale} or {@code consistent}
+ * @param tokenFile holds the ACL token; read again after a token was refused
+ * @param waitMs wait of a blocking query; a hanging agent is detected only after it
+ * @param mostStaleMs answers of a server without contact to its leader for longer are discarded
+ * @param tls certificates, if the agents are reached over TLS
+ * @param register the sender's registration, if it is to be registered as a service
  */
 public record ConsulSettings(List<InetSocketAddress> agents, Map<String, Mapping> services, String tag,
         String datacenter, String namespace, String filter, String mode, Optional<Path> tokenFile, long waitMs,
         long mostStaleMs, Optional<Tls> tls, Optional<Register> register) {
-    private static final long LONGEST_WAIT_MS = 3_600_000;
+    private static final long MAX_DURATION_MS = 3_600_000;
 
-    /** Where a service's instances belong; {@code destination} empty: each instance's metadata must say. */
+    /** Defaults for a service's instances. Without {@code destination} each instance's metadata must give one. */
     public record Mapping(Optional<Long> destination, String kind, String zone) {
     }
 
-    /** PEM files; the certificate and key are the sender's own, if the agents ask for one. */
+    /** PEM files; {@code certificate} and {@code key} identify the sender to agents that require a client certificate. */
     public record Tls(Path authority, Optional<Path> certificate, Optional<Path> key) {
     }
 
-    /** The sender's own registration; its check is told to be passing three times in {@code ttlMs}. */
+    /** The sender's service registration; its TTL check is renewed three times per {@code ttlMs}. */
     public record Register(String name, String id, List<String> tags, long ttlMs) {
     }
 
-    /** Reads the part {@code consul}; an error names its place and the mend. */
+    /** Reads the section {@code consul}; an error gives its position and how to fix it. */
     public static ConsulSettings read(Section part) throws BadInput {
         part.allowOnly("agents", "services", "tag", "datacenter", "namespace", "filter", "mode", "token_file", "wait",
                 "most_stale", "tls", "register");
@@ -57,14 +58,14 @@
         }
         String tag = part.text("tag", "");
         if (services.isEmpty() && tag.isEmpty()) {
-            throw part.error("services", "is empty; say which services, by `services` or by a `tag` that they bear");
+            throw part.error("services", "is empty; say which services, by `services` or by a `tag` that they have");
         }
         Optional<Section> tls = part.section("tls");
         Optional<Section> register = part.section("register");
         return new ConsulSettings(List.copyOf(agents), services, tag, part.text("datacenter", ""),
                 part.text("namespace", ""), part.text("filter", ""),
                 part.oneOf("mode", "default", Set.of("default", "stale", "consistent")), part.path("token_file"),
-                part.millis("wait", 1000, 100, LONGEST_WAIT_MS), part.millis("most_stale", 2000, 0, LONGEST_WAIT_MS),
+                part.millis("wait", 1000, 100, MAX_DURATION_MS), part.millis("most_stale", 2000, 0, MAX_DURATION_MS),
                 tls.isPresent() ? Optional.of(tls(tls.get())) : Optional.empty(),
                 register.isPresent() ? Optional.of(register(register.get())) : Optional.empty());
     }
@@ -74,7 +75,7 @@
         Optional<Path> certificate = part.path("certificate");
         Optional<Path> key = part.path("key");
         if (certificate.isPresent() != key.isPresent()) {
-            throw part.error(key.isPresent() ? "key" : "certificate", "stands alone; certificate and key go together");
+            throw part.error(key.isPresent() ? "key" : "certificate", "is given alone; certificate and key go together");
         }
         part.text("authority");
         return new Tls(part.path("authority").orElseThrow(), certificate, key);
@@ -83,6 +84,6 @@
     private static Register register(Section part) throws BadInput {
         part.allowOnly("name", "id", "tags", "ttl");
         return new Register(part.text("name", "slipfield"), part.text("id", ""), part.texts("tags"),
-                part.millis("ttl", 10_000, 300, LONGEST_WAIT_MS));
+                part.millis("ttl", 10_000, 300, MAX_DURATION_MS));
     }
 }
--- a/src/main/java/slipfield/directory/consul/HealthReader.java
+++ b/src/main/java/slipfield/directory/consul/HealthReader.java
@@ -13,8 +13,8 @@
 import slipfield.membership.Status;
 
 /**
- * Reads the answers of {@code /v1/health/service/NAME} and {@code /v1/catalog/services}. The fields are those of the
- * HTTP API's pages "Health" and "Catalog".
+ * Parses the answers of {@code /v1/health/service/NAME} and {@code /v1/catalog/services}, as documented on the pages "Health"
+ * and "Catalog" of Consul's HTTP API.
  */
 final class HealthReader {
     private static final String NODE_MAINTENANCE = "_node_maintenance";
@@ -25,15 +25,19 @@
     private HealthReader() {
     }
 
-    /** The instances of a service; one that can't be used as it is told is left out, and named in the log. */
+    /**
+     * Returns the instances of a service. An instance with invalid attributes is left out and logged.
+     *
+     * @throws BadInput if the answer or one of its entries has an unexpected format
+     */
     static List<Instance> instances(String service, JsonNode answer, ConsulSettings.Mapping mapping) throws BadInput {
         if (!answer.isArray()) {
-            throw new BadInput("the answer for service " + service + " is no list");
+            throw new BadInput("the answer for service " + service + " is not a list");
         }
         List<Instance> instances = new ArrayList<>();
         for (JsonNode entry : answer) {
             if (!entry.path("Service").isObject() || !entry.path("Node").isObject() || !entry.path("Checks").isArray()) {
-                // One that can't be read must not pass for one that is gone.
+                // An unreadable entry must not count as a removed instance, so the whole answer is rejected.
                 throw new BadInput("an entry of service " + service + " has no Service, Node or Checks");
             }
             try {
@@ -69,13 +73,13 @@
         Status worst = Status.PASSING;
         for (JsonNode check : entry.path("Checks")) {
             String id = check.path("CheckID").asText();
-            Status says = switch (check.path("Status").asText()) {
+            Status reported = switch (check.path("Status").asText()) {
                 case "passing" -> Status.PASSING;
                 case "warning" -> Status.WARNING;
                 default -> id.equals(NODE_MAINTENANCE) || id.startsWith(SERVICE_MAINTENANCE) ? Status.DRAINING
                         : Status.CRITICAL;
             };
-            worst = says.compareTo(worst) > 0 ? says : worst;
+            worst = reported.compareTo(worst) > 0 ? reported : worst;
         }
         return worst;
     }
@@ -87,45 +91,45 @@
     }
 
     private static long destination(JsonNode service, JsonNode meta, ConsulSettings.Mapping mapping) throws BadInput {
-        String told = meta.path("destination").asText();
+        String text = meta.path("destination").asText();
         for (String tag : tags(service)) {
-            if (told.isEmpty() && tag.startsWith(DEST_TAG)) {
-                told = tag.substring(DEST_TAG.length());
+            if (text.isEmpty() && tag.startsWith(DEST_TAG)) {
+                text = tag.substring(DEST_TAG.length());
             }
         }
-        if (told.isEmpty()) {
-            return mapping.destination().orElseThrow(() -> new BadInput("no destination: give its Meta one, a tag "
-                    + "dest=N, or the service one in the operator's file"));
+        if (text.isEmpty()) {
+            return mapping.destination().orElseThrow(() -> new BadInput("no destination: set one in its Meta, by a tag "
+                    + "dest=N, or for the service in the operator's file"));
         }
         try {
-            return Long.parseUnsignedLong(told);
+            return Long.parseUnsignedLong(text);
         } catch (NumberFormatException e) {
-            throw new BadInput("its destination is no whole number: '" + told + "'");
+            throw new BadInput("its destination is not a whole number: '" + text + "'");
         }
     }
 
     private static String zone(JsonNode node, JsonNode meta, ConsulSettings.Mapping mapping) {
-        String told = meta.path("zone").asText(node.path("Meta").path("zone").asText());
-        return told.isEmpty() ? mapping.zone() : told;
+        String text = meta.path("zone").asText(node.path("Meta").path("zone").asText());
+        return text.isEmpty() ? mapping.zone() : text;
     }
 
     private static double weight(JsonNode service, JsonNode meta, Status status) throws BadInput {
-        String told = meta.path("weight").asText();
-        if (told.isEmpty()) {
+        String text = meta.path("weight").asText();
+        if (text.isEmpty()) {
             return Math.max(0, service.path("Weights").path(status == Status.WARNING ? "Warning" : "Passing").asDouble());
         }
         try {
-            double weight = Double.parseDouble(told);
+            double weight = Double.parseDouble(text);
             if (weight >= 0 && weight < Double.POSITIVE_INFINITY) {
                 return weight;
             }
         } catch (NumberFormatException e) {
-            // As one that is out of range.
+            // Handled like a weight out of range.
         }
-        throw new BadInput("its weight is no number of 0 or more: '" + told + "'");
+        throw new BadInput("its weight is not a number of 0 or more: '" + text + "'");
     }
 
-    /** Names of services that bear this tag. */
+    /** Returns the names of the services with this tag; empty if the answer is not an object. */
     static Optional<TreeSet<String>> tagged(JsonNode answer, String tag) {
         if (!answer.isObject()) {
             return Optional.empty();
--- a/src/main/java/slipfield/directory/consul/Registration.java
+++ b/src/main/java/slipfield/directory/consul/Registration.java
@@ -21,13 +21,13 @@
 import slipfield.log.Log;
 
 /**
- * The sender as a service of its own at one agent, with a TTL check that it keeps passing; Consul's pages "Agent service"
- * and "Agent check". An agent that has forgotten it is told anew; where one can't be asked, the next one is registered with.
+ * Registers the sender as a service with one agent and keeps its TTL check passing; see "Agent service" and "Agent check" in
+ * Consul's documentation. Registers again with an agent that lost the registration, and with the next agent on failure.
  */
 final class Registration {
-    private static final long ANSWER_MS = 500;
-    /** A sender that went without a word is taken off after so many of its TTLs, and a minute at least, as Consul rules. */
-    private static final int TTLS_TILL_GONE = 6;
+    private static final long TIMEOUT_MS = 500;
+    /** Consul deregisters a sender that stopped renewing after this many TTLs; Consul's minimum is one minute. */
+    private static final int TTLS_UNTIL_DEREGISTERED = 6;
 
     private final EventLoop loop;
     private final AgentAccess access;
@@ -39,7 +39,7 @@
     private int turn;
     private boolean registered;
     private boolean ended;
-    private boolean troubled;
+    private boolean failing;
     private Optional<Future<?>> next = Optional.empty();
 
     Registration(EventLoop loop, AgentAccess access, ConsulSettings.Register as, InetSocketAddress address) {
@@ -52,10 +52,10 @@
 
     void start() {
         agent = access.agent(loop, turn);
-        beat();
+        renew();
     }
 
-    private void beat() {
+    private void renew() {
         if (ended) {
             return;
         }
@@ -76,17 +76,17 @@
         ArrayNode tags = service.putArray("Tags");
         as.tags().forEach(tags::add);
         service.putObject("Check").put("CheckID", check()).put("TTL", as.ttlMs() + "ms").put("Status", "passing")
-                .put("DeregisterCriticalServiceAfter", Math.max(60_000, TTLS_TILL_GONE * as.ttlMs()) + "ms");
+                .put("DeregisterCriticalServiceAfter", Math.max(60_000, TTLS_UNTIL_DEREGISTERED * as.ttlMs()) + "ms");
         return service;
     }
 
     private void put(String path, ObjectNode body) {
-        agent.send(request(path, body), ANSWER_MS, this::answered);
+        agent.send(request(path, body), TIMEOUT_MS, this::answered);
     }
 
     private FullHttpRequest request(String path, ObjectNode body) {
         QueryStringEncoder query = new QueryStringEncoder(path);
-        access.scope(query);
+        access.addScope(query);
         FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.PUT, query.toString(),
                 Unpooled.copiedBuffer(body.toString(), StandardCharsets.UTF_8));
         request.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
@@ -100,8 +100,8 @@
         }
         int code = answer.map(a -> a.status().code()).orElse(0);
         boolean good = code == 200;
-        if (troubled == good) {
-            troubled = !good;
+        if (failing == good) {
+            failing = !good;
             if (good) {
                 Log.info("consul.registered", "id", id);
             } else {
@@ -111,22 +111,22 @@
         boolean again = !good && registered && code != 0;
         registered = good;
         if (again) {
-            // It answers and has forgotten us: registered anew at once.
-            beat();
+            // The agent answers but lost the registration: register again at once.
+            renew();
             return;
         }
         if (!good) {
             if (code == 403) {
-                access.refused();
+                access.tokenRefused();
             }
             agent.close();
             agent = access.agent(loop, ++turn);
         }
-        next = Optional.of(loop.schedule(this::beat, good ? as.ttlMs() / 3 : Math.min(1000, as.ttlMs() / 3),
+        next = Optional.of(loop.schedule(this::renew, good ? as.ttlMs() / 3 : Math.min(1000, as.ttlMs() / 3),
                 TimeUnit.MILLISECONDS));
     }
 
-    /** Takes it back; {@code then} runs once that is answered, or will not be. */
+    /** Deregisters the sender; {@code then} runs after the answer or its time-out. */
     void end(Runnable then) {
         ended = true;
         next.ifPresent(n -> n.cancel(false));
@@ -135,7 +135,7 @@
             then.run();
             return;
         }
-        agent.send(request("/v1/agent/service/deregister/" + id, json.createObjectNode()), ANSWER_MS, answer -> {
+        agent.send(request("/v1/agent/service/deregister/" + id, json.createObjectNode()), TIMEOUT_MS, answer -> {
             agent.close();
             then.run();
         });
--- a/src/main/java/slipfield/directory/merged/MembersConfig.java
+++ b/src/main/java/slipfield/directory/merged/MembersConfig.java
@@ -18,20 +18,20 @@
 import slipfield.settings.SettingsFile;
 
 /**
- * The operator's file of endpoints' sources.
+ * The operator's file that sets the sources of endpoints and the rules for merging them.
  *
- * @param precedence the sources that are used, of {@code platform}, {@code consul} and {@code file}; where several name an
- *     endpoint, the first one's attributes hold
- * @param file the endpoints that the file itself names
+ * @param precedence the used sources, of {@code platform}, {@code consul} and {@code file}; the first one that lists an
+ *     endpoint sets its attributes
+ * @param file the endpoints listed in the file itself
  */
 public record MembersConfig(List<String> precedence, MembershipRules rules, Optional<ConsulSettings> consul,
         List<Instance> file) {
     static final String PLATFORM = "platform";
     static final String CONSUL = "consul";
     static final String FILE = "file";
-    private static final long LONGEST_MS = 24 * 3_600_000;
+    private static final long MAX_MS = 24 * 3_600_000;
 
-    /** Reads it; an error names the file, line, column and the mend. */
+    /** Reads the file; an error gives file, line, column and how to fix it. */
     public static MembersConfig read(Path path) throws IOException, BadInput {
         String text = Files.readString(path);
         try {
@@ -69,10 +69,10 @@
     private static MembershipRules rules(Section rules) throws BadInput {
         MembershipRules d = MembershipRules.DEFAULT;
         rules.allowOnly("steady", "most_steady", "forgive", "most_shrink", "window", "accept");
-        long steady = rules.millis("steady", d.steadyMs(), 0, LONGEST_MS);
-        return new MembershipRules(steady, rules.millis("most_steady", Math.max(steady, d.mostSteadyMs()), steady, LONGEST_MS),
-                rules.millis("forgive", d.forgiveMs(), 1, LONGEST_MS), rules.share("most_shrink", d.mostShrink()),
-                rules.millis("window", d.windowMs(), 0, LONGEST_MS), rules.millis("accept", d.acceptMs(), 0, LONGEST_MS));
+        long steady = rules.millis("steady", d.steadyMs(), 0, MAX_MS);
+        return new MembershipRules(steady, rules.millis("most_steady", Math.max(steady, d.mostSteadyMs()), steady, MAX_MS),
+                rules.millis("forgive", d.forgiveMs(), 1, MAX_MS), rules.share("most_shrink", d.mostShrink()),
+                rules.millis("window", d.windowMs(), 0, MAX_MS), rules.millis("accept", d.acceptMs(), 0, MAX_MS));
     }
 
     private static List<Instance> endpoints(List<Section> list) throws BadInput {
--- a/src/main/java/slipfield/directory/merged/MergedDirectory.java
+++ b/src/main/java/slipfield/directory/merged/MergedDirectory.java
@@ -23,30 +23,30 @@
 import slipfield.work.Worker;
 
 /**
- * The merged directory. The membership module is asked on the core's loop, so that the platform's word takes no longer
- * way than without it; Consul is read on a loop of its own and hands over what it has read.
+ * Merges the endpoint lists of the platform, Consul and the operator's file. {@link Membership} runs on the core's event loop,
+ * so that the platform's list needs no hop between threads; Consul is read on a separate loop that passes its results on.
  */
 public final class MergedDirectory implements Directory, AutoCloseable {
-    /** The file of the kept view, in the state folder. */
+    /** Name of the file with the stored view, in the state folder. */
     public static final String VIEW_FILE = "members.json";
-    /** The view is written at most so often. */
+    /** Delay between a change and the write of the view; changes in between share one write. */
     private static final long WRITE_MS = 500;
 
     private final MembersConfig config;
     private final Membership membership;
     private final Optional<ConsulDirectory> consul;
     private final ViewFile file;
-    /** The platform tells changes; the module is told whole lists. */
+    /** The platform's whole list: the platform reports changes, but {@link Membership} takes whole lists. */
     private final Map<String, Instance> platformList = new HashMap<>();
-    /** What Consul had said in an earlier life. */
-    private final ViewFile.Recalled kept;
-    /** Why Consul can't be read; empty: it can. */
-    private String trouble = "";
+    /** Consul's last list in the previous process. */
+    private final ViewFile.Recalled recalled;
+    /** Why Consul can't be read; empty if it can. */
+    private String consulError = "";
     private EventLoop loop;
     private Optional<Directory> platform = Optional.empty();
-    private EndpointListener lists;
-    private boolean told;
-    private boolean consulHeard;
+    private EndpointListener listener;
+    private boolean reported;
+    private boolean consulReceived;
     private Future<?> tick;
     private Future<?> write;
     private Map<Long, Long> held = Map.of();
@@ -57,53 +57,53 @@
         this.consul = config.consul().isPresent() ? Optional.of(new ConsulDirectory(config.consul().get()))
                 : Optional.empty();
         this.file = new ViewFile(state);
-        // Here, and not when it is wanted: that is on the core's loop, which must wait for no disk.
-        this.kept = file.recall(MembersConfig.CONSUL);
+        // Read here, because start() runs on the core's loop, which must not wait for the disk.
+        this.recalled = file.recall(MembersConfig.CONSUL);
     }
 
-    /** Reads the operator's file, and makes the directory of it that keeps its view in this folder. */
+    /** Creates the directory from the operator's file at {@code path}; it stores its view in the folder {@code state}. */
     public static MergedDirectory read(Path path, Path state) throws IOException, BadInput {
         return new MergedDirectory(MembersConfig.read(path), state);
     }
 
-    /** On this loop, with this worker for what nobody waits for, with the platform's list where the configuration's precedence names it. */
+    /** Sets the core's loop, the worker for writes, and the platform's list, which is used if the precedence names it. */
     public void attach(EventLoop core, Worker worker, Directory list) {
         loop = core;
-        file.by(worker);
+        file.setWorker(worker);
         if (config.precedence().contains(MembersConfig.PLATFORM)) {
             platform = Optional.of(list);
         }
     }
 
-    /** From a source in this life: the platform, Consul, or the operator's file alone. */
+    /** Whether this process has received a list from the platform or Consul; always true with the operator's file alone. */
     @Override
     public boolean fresh() {
-        return consulHeard || platform.map(Directory::fresh).orElse(consul.isEmpty());
+        return consulReceived || platform.map(Directory::fresh).orElse(consul.isEmpty());
     }
 
     @Override
-    public void start(EndpointListener to) {
-        lists = to;
+    public void start(EndpointListener receiver) {
+        listener = receiver;
         if (config.precedence().contains(MembersConfig.FILE)) {
-            tell(membership.update(nowMs(), MembersConfig.FILE, config.file()));
+            report(membership.update(nowMs(), MembersConfig.FILE, config.file()));
         }
         consul.ifPresent(this::watch);
-        platform.ifPresent(p -> p.start(this::listed));
+        platform.ifPresent(p -> p.start(this::platformChanged));
     }
 
     private void watch(ConsulDirectory from) {
-        if (!kept.instances().isEmpty()) {
-            long ageMs = Math.max(0, System.currentTimeMillis() - kept.heardMs());
-            Log.info("members.recalled", "age_ms", ageMs, "endpoints", kept.instances().size());
-            tell(membership.restore(nowMs(), MembersConfig.CONSUL, kept.instances(), ageMs));
+        if (!recalled.instances().isEmpty()) {
+            long ageMs = Math.max(0, System.currentTimeMillis() - recalled.heardMs());
+            Log.info("members.recalled", "age_ms", ageMs, "endpoints", recalled.instances().size());
+            report(membership.restore(nowMs(), MembersConfig.CONSUL, recalled.instances(), ageMs));
         }
-        from.start(kept.instances(), new ConsulDirectory.Listener() {
+        from.start(recalled.instances(), new ConsulDirectory.Listener() {
             @Override
             public void instancesChanged(List<Instance> whole) {
                 loop.execute(() -> {
-                    consulHeard = true;
+                    consulReceived = true;
                     recovered();
-                    tell(membership.update(nowMs(), MembersConfig.CONSUL, whole));
+                    report(membership.update(nowMs(), MembersConfig.CONSUL, whole));
                 });
             }
 
@@ -124,24 +124,24 @@
 
     private void failed(String why) {
         membership.sourceFailed(MembersConfig.CONSUL, why);
-        if (trouble.isEmpty()) {
+        if (consulError.isEmpty()) {
             Log.warn("consul.away", "cause", why);
         }
-        if (!why.equals(trouble)) {
-            trouble = why;
+        if (!why.equals(consulError)) {
+            consulError = why;
             writeSoon();
         }
     }
 
     private void recovered() {
-        if (!trouble.isEmpty()) {
-            trouble = "";
+        if (!consulError.isEmpty()) {
+            consulError = "";
             Log.info("consul.back");
             writeSoon();
         }
     }
 
-    private void listed(boolean whole, List<Entry> entries) {
+    private void platformChanged(boolean whole, List<Entry> entries) {
         if (whole) {
             platformList.clear();
         }
@@ -149,20 +149,20 @@
             if (e.gone()) {
                 platformList.remove(e.id());
             } else {
-                platformList.put(e.id(), new Instance(e.id(), Config.hostPort((InetSocketAddress) e.address()), e.destination(), e.kind(),
-                        e.zone(), e.weight(), e.serving() ? Status.PASSING : Status.DRAINING));
+                platformList.put(e.id(), new Instance(e.id(), Config.hostPort((InetSocketAddress) e.address()), e.destination(),
+                        e.kind(), e.zone(), e.weight(), e.serving() ? Status.PASSING : Status.DRAINING));
             }
         }
-        tell(membership.update(nowMs(), MembersConfig.PLATFORM, platformList.values()));
+        report(membership.update(nowMs(), MembersConfig.PLATFORM, platformList.values()));
     }
 
     private static long nowMs() {
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     }
 
-    private void tell(Membership.Change change) {
+    private void report(Membership.Change change) {
         List<Entry> entries = new ArrayList<>();
-        // What is gone first: its id may have been given to another address.
+        // Removed endpoints come first: their ids may have been given to another address.
         for (String id : change.removed()) {
             entries.add(new Entry(id, new InetSocketAddress(0), "", "", 0, false, 0, true));
         }
@@ -175,11 +175,11 @@
                 Log.warn("members.endpoint_left_out", "endpoint", m.id(), "cause", bad.getMessage());
             }
         }
-        if (!entries.isEmpty() || !told) {
-            lists.endpointsChanged(!told, entries);
-            told = true;
+        if (!entries.isEmpty() || !reported) {
+            listener.endpointsChanged(!reported, entries);
+            reported = true;
         }
-        report();
+        logHeldPools();
         if (!change.isEmpty()) {
             writeSoon();
         }
@@ -188,12 +188,12 @@
         }
         long next = membership.nextTickMs();
         if (next != Long.MAX_VALUE) {
-            tick = loop.schedule(() -> tell(membership.tick(nowMs())), Math.max(1, next - nowMs()),
+            tick = loop.schedule(() -> report(membership.tick(nowMs())), Math.max(1, next - nowMs()),
                     TimeUnit.MILLISECONDS);
         }
     }
 
-    private void report() {
+    private void logHeldPools() {
         Map<Long, Long> now = membership.heldPools();
         if (!now.keySet().equals(held.keySet())) {
             now.keySet().stream().filter(d -> !held.containsKey(d)).forEach(d -> Log.warn("members.held", "destination",
@@ -213,12 +213,12 @@
         }
     }
 
-    /** The sender listens at this address now. */
+    /** Registers the sender, which listens at this address, in Consul if so configured. */
     public void register(InetSocketAddress address) {
         consul.ifPresent(c -> c.register(address));
     }
 
-    /** The sender is about to end: fronts are to find others. */
+    /** Deregisters the sender before it shuts down, so that frontends connect to others; waits for at most {@code mostMs}. */
     public void deregister(long mostMs) {
         consul.ifPresent(c -> c.deregister(mostMs));
     }
--- a/src/main/java/slipfield/directory/merged/ViewFile.java
+++ b/src/main/java/slipfield/directory/merged/ViewFile.java
@@ -21,8 +21,8 @@
 import slipfield.work.Worker;
 
 /**
- * The view on disk: what each source said last, for the next life, and the merged view, for whoever asks. One that can't
- * be read counts as none.
+ * The view on disk: the last list of each source, for the process after a restart, and the merged view, for operators' tools.
+ * A file that can't be read is ignored.
  */
 final class ViewFile implements AutoCloseable {
     private static final int VERSION = 1;
@@ -30,7 +30,7 @@
     private final BackgroundJsonFile file;
     private final JsonMapper json = JsonMapper.builder().build();
 
-    /** What a source had said, and when by the wall clock. */
+    /** The stored list of a source, and when it was received, in ms since the epoch. */
     record Recalled(long heardMs, List<Instance> instances) {
     }
 
@@ -38,12 +38,12 @@
         this.file = new BackgroundJsonFile(folder.resolve(MergedDirectory.VIEW_FILE), "members.view_unwritable");
     }
 
-    /** It is written by this worker. */
-    void by(Worker worker) {
+    /** Sets the worker that writes the file. */
+    void setWorker(Worker worker) {
         file.setWorker(worker);
     }
 
-    /** What was kept of this source; nothing where none was, or the file is damaged. */
+    /** Returns the stored list of a source; empty if there is none or the file is damaged. */
     Recalled recall(String source) {
         List<Instance> instances = new ArrayList<>();
         try {
@@ -64,50 +64,50 @@
         }
     }
 
-    /** The view at a time: nothing of it changes any more, so that it can be written on another thread. */
-    private record Snapshot(Map<String, Membership.SourceState> states, Map<String, Collection<Instance>> told,
+    /** An immutable copy of the view, which another thread can write. */
+    private record Snapshot(Map<String, Membership.SourceState> states, Map<String, Collection<Instance>> instances,
             Map<Long, Long> held, List<Member> members, long nowMs, long wallMs) {
         long wall(long atMs) {
             return wallMs - (nowMs - atMs);
         }
     }
 
-    /** Writes the view as it is now; here it is only taken down, all else is the writer's. */
+    /** Writes the current view: copies it here, and formats and writes it on the worker. */
     void write(Membership membership, long nowMs, long wallMs) {
         Map<String, Membership.SourceState> states = membership.sourceStates(nowMs);
-        Map<String, Collection<Instance>> told = new HashMap<>();
-        states.keySet().forEach(source -> told.put(source, membership.lastInstances(source)));
-        Snapshot taken = new Snapshot(states, told, membership.heldPools(), membership.members(), nowMs, wallMs);
-        file.write(() -> view(taken));
+        Map<String, Collection<Instance>> instances = new HashMap<>();
+        states.keySet().forEach(source -> instances.put(source, membership.lastInstances(source)));
+        Snapshot snapshot = new Snapshot(states, instances, membership.heldPools(), membership.members(), nowMs, wallMs);
+        file.write(() -> view(snapshot));
     }
 
-    private ObjectNode view(Snapshot taken) {
-        ObjectNode view = json.createObjectNode().put("version", VERSION).put("written_ms", taken.wallMs);
+    private ObjectNode view(Snapshot snapshot) {
+        ObjectNode view = json.createObjectNode().put("version", VERSION).put("written_ms", snapshot.wallMs);
         ObjectNode sources = view.putObject("sources");
-        taken.states.forEach((source, state) -> {
+        snapshot.states.forEach((source, state) -> {
             ObjectNode of = sources.putObject(source).put("heard", state.reported())
-                    .put("heard_ms", state.reported() ? taken.wallMs - state.ageMs() : 0)
+                    .put("heard_ms", state.reported() ? snapshot.wallMs - state.ageMs() : 0)
                     .put("trouble", state.error().orElse(""));
             ArrayNode instances = of.putArray("instances");
-            taken.told.get(source).forEach(i -> instances.addObject().put("id", i.id())
+            snapshot.instances.get(source).forEach(i -> instances.addObject().put("id", i.id())
                     .put("address", i.address()).put("destination", i.destination()).put("kind", i.kind())
                     .put("zone", i.zone()).put("weight", i.weight()).put("status", i.status().name()));
         });
         ObjectNode held = view.putObject("held");
-        taken.held.forEach((pool, since) -> held.put(pool.toString(), taken.wall(since)));
+        snapshot.held.forEach((pool, since) -> held.put(pool.toString(), snapshot.wall(since)));
         ArrayNode members = view.putArray("members");
-        for (Member m : taken.members) {
+        for (Member m : snapshot.members) {
             ObjectNode member = members.addObject().put("id", m.id()).put("address", m.endpoint().address())
                     .put("destination", m.endpoint().destination()).put("used", m.used()).put("why", m.reason().name())
-                    .put("since_ms", taken.wall(m.sinceMs()))
-                    .put("again_ms", m.usableAgainMs() == 0 ? 0 : taken.wall(m.usableAgainMs()));
+                    .put("since_ms", snapshot.wall(m.sinceMs()))
+                    .put("again_ms", m.usableAgainMs() == 0 ? 0 : snapshot.wall(m.usableAgainMs()));
             ObjectNode says = member.putObject("says");
             m.statusBySource().forEach((source, status) -> says.put(source, status.name()));
         }
         return view;
     }
 
-    /** What was to be written is, if the disk lets it. */
+    /** Writes a pending view, if the disk allows it. */
     @Override
     public void close() {
         file.close();
--- a/src/main/java/slipfield/directory/package-info.java
+++ b/src/main/java/slipfield/directory/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Where endpoints come from: the platform's list. May use {@code core}, {@code agent}, {@code config},
+ * Sources of endpoints: the platform's endpoint list. May use {@code core}, {@code agent}, {@code config},
  * {@code fleet}.
  */
 package slipfield.directory;
--- a/src/test/java/slipfield/directory/DiscoveryTest.java
+++ b/src/test/java/slipfield/directory/DiscoveryTest.java
@@ -26,12 +26,12 @@
 import slipfield.fleet.DiscoveryBackoff;
 import slipfield.standin.Stub;
 
-/** The platform's list where discovery has too much to do, or says what can't be meant. */
+/** The platform's list when discovery is overloaded, slow, or sends invalid answers. */
 class DiscoveryTest {
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final List<Directory.Entry> told = Collections.synchronizedList(new ArrayList<>());
-    private final AtomicInteger wholes = new AtomicInteger();
+    private final List<Directory.Entry> reported = Collections.synchronizedList(new ArrayList<>());
+    private final AtomicInteger wholeLists = new AtomicInteger();
     private Stub stub;
     private Discovery discovery;
 
@@ -47,10 +47,10 @@
                 new DiscoveryBackoff(14, new SplittableRandom(5)));
         loop.submit(() -> discovery.start((whole, entries) -> {
             if (whole) {
-                wholes.incrementAndGet();
-                told.clear();
+                wholeLists.incrementAndGet();
+                reported.clear();
             }
-            told.addAll(entries);
+            reported.addAll(entries);
         })).syncUninterruptibly();
     }
 
@@ -65,7 +65,7 @@
         Stub.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
-    private static void refuse(Socket socket) throws Exception {
+    private static void reject(Socket socket) throws Exception {
         Stub.write(socket, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
     }
 
@@ -73,32 +73,32 @@
         return loop.submit(discovery::fresh).syncUninterruptibly().getNow();
     }
 
-    /** The kept list serves; each pause after a 503 is a quarter of 3.5 s at least, and not the 100 ms that kept it down. */
+    /** The configured list is used; a pause after a 503 is at least 3.5 s / 4, as retries each 100 ms prolonged an overload. */
     @Test
-    void aDiscoveryThatTurnsCallsAwayIsAskedSeldomAndTheKeptListServes() throws Exception {
+    void anOverloadedDiscoveryIsRetriedSeldomAndTheConfiguredListIsUsed() throws Exception {
         JsonNode known = new ObjectMapper().readTree("{\"generation\":41,\"reset\":true,\"instances\":["
                 + entry("s-1", "SERVING", "2.0") + "]}");
         start((request, socket) -> {
             if (stub.requests.size() < 3) {
-                refuse(socket);
+                reject(socket);
             } else {
                 list(socket, 42, true, entry("s-2", "SERVING", "1.0"));
             }
         }, Optional.of(known));
-        Stub.await("the kept list", () -> told.size() == 1);
-        assertEquals("s-1", told.get(0).id());
+        Stub.await("the kept list", () -> reported.size() == 1);
+        assertEquals("s-1", reported.get(0).id());
         assertFalse(fresh());
         Stub.await("discovery's own", this::fresh);
-        assertEquals("s-2", told.get(0).id());
+        assertEquals("s-2", reported.get(0).id());
         for (int i = 1; i < 3; i++) {
             long pauseMs = (stub.requests.get(i).atNanos() - stub.requests.get(i - 1).atNanos()) / 1_000_000;
             assertTrue(pauseMs >= 800, "asked again after " + pauseMs + " ms");
         }
     }
 
-    /** An answer that comes after the 500 ms for which a list was once waited is taken, not asked for again. */
+    /** Guards against a time-out of 500 ms: a slower answer is accepted without a second request. */
     @Test
-    void anAnswerThatTakesLongIsWaitedFor() throws Exception {
+    void aSlowAnswerIsAccepted() throws Exception {
         CountDownLatch held = new CountDownLatch(1);
         start((request, socket) -> {
             if (request.line().contains("after=")) {
@@ -113,9 +113,9 @@
         assertEquals(1, stub.requests.stream().filter(r -> !r.line().contains("after=")).count(), "asked once");
     }
 
-    /** Cut short, or no list at all: the list that was known stands, and discovery is asked again. */
+    /** After a truncated answer or one without a list, the last list stays in use and discovery is asked again. */
     @Test
-    void anAnswerThatIsCutShortOrNoListChangesNothing() throws Exception {
+    void aTruncatedOrInvalidAnswerChangesNothing() throws Exception {
         start((request, socket) -> {
             switch (stub.requests.size()) {
                 case 1 -> list(socket, 5, true, entry("s-1", "SERVING", "1.0"));
@@ -126,7 +126,7 @@
                 case 3 -> Stub.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 13\r\n\r\n{\"instances\":");
                 case 4 -> Stub.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 18\r\n\r\n{\"generation\":\"x\"}");
                 case 5 -> {
-                    // What came can be read as a list, and an empty one at that: only the framing tells that it is not whole.
+                    // The first chunk is a valid empty list: only the framing shows that the answer is incomplete.
                     String part = "{\"generation\":6,\"reset\":true,\"instances\":[]}";
                     Stub.write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                             + Integer.toHexString(part.length()) + "\r\n" + part + "\r\nno length\r\n\r\n");
@@ -141,20 +141,20 @@
                 }
             }
         }, Optional.empty());
-        Stub.await("the list after them", () -> told.size() >= 2);
-        assertEquals("s-1", told.get(0).id());
-        assertEquals(1, wholes.get());
+        Stub.await("the list after them", () -> reported.size() >= 2);
+        assertEquals("s-1", reported.get(0).id());
+        assertEquals(1, wholeLists.get());
         for (int i = 1; i < 7; i++) {
             assertTrue(stub.requests.get(i).line().contains("after=5&"), stub.requests.get(i).line());
         }
     }
 
     /**
-     * What a list that can't be read tells counts as told: after four in a row, each held for a discovery with too much to do, the
-     * pauses of one of fourteen senders were 13 s together at the least.
+     * The content of an unreadable list counts as reported. When four in a row were handled like an overload, the pauses of one
+     * of 14 senders took at least 13 s together.
      */
     @Test
-    void aListThatCannotBeReadIsAskedForAgainSoon() throws Exception {
+    void anUnreadableListIsRequestedAgainSoon() throws Exception {
         start((request, socket) -> {
             if (stub.requests.size() > 1 && stub.requests.size() < 6) {
                 Stub.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 13\r\n\r\n{\"instances\":");
@@ -167,9 +167,9 @@
         assertTrue(tookMs < 10_000, tookMs + " ms");
     }
 
-    /** Changes of an older version would undo a drain that was told since. */
+    /** Older changes would undo a drain that was reported since. */
     @Test
-    void changesFromBeforeWhatIsKnownAreNotTaken() throws Exception {
+    void changesOfAnOlderGenerationAreDiscarded() throws Exception {
         start((request, socket) -> {
             switch (stub.requests.size()) {
                 case 1 -> list(socket, 5, true, entry("s-1", "DRAINING", "1.0"));
@@ -179,15 +179,15 @@
             }
         }, Optional.empty());
         Stub.await("the whole list", () -> stub.requests.size() == 4);
-        assertFalse(stub.requests.get(2).line().contains("after="), "the whole list settles it");
-        assertEquals(List.of("s-2"), told.stream().map(Directory.Entry::id).toList());
-        assertEquals(2, wholes.get());
-        assertTrue(stub.requests.get(3).line().contains("after=3&"), "a whole list may begin another reckoning");
+        assertFalse(stub.requests.get(2).line().contains("after="), "the whole list is fetched");
+        assertEquals(List.of("s-2"), reported.stream().map(Directory.Entry::id).toList());
+        assertEquals(2, wholeLists.get());
+        assertTrue(stub.requests.get(3).line().contains("after=3&"), "a whole list may have a lower generation");
     }
 
-    /** A state that is not known gets nothing new; figures that can't be meant count as none; the rest is taken. */
+    /** An unknown state counts as not serving, an invalid weight as none; an entry with an invalid address is skipped. */
     @Test
-    void statesAndFiguresThatCannotBeMeantAreNotBelieved() throws Exception {
+    void unknownStatesAndInvalidEntriesAreNotServing() throws Exception {
         start((request, socket) -> {
             if (!request.line().contains("after=")) {
                 list(socket, 5, true, entry("s-1", "RESTING", "1.0"), entry("s-2", "SERVING", "-4"),
@@ -196,9 +196,9 @@
             }
         }, Optional.empty());
         Stub.await("the list", this::fresh);
-        Stub.await("its entries", () -> told.size() == 4);
-        assertEquals(List.of("s-1", "s-2", "s-3", "s-5"), told.stream().map(Directory.Entry::id).toList());
-        assertEquals(List.of(false, true, true, false), told.stream().map(Directory.Entry::serving).toList());
-        assertEquals(List.of(false, false, false, true), told.stream().map(Directory.Entry::gone).toList());
+        Stub.await("its entries", () -> reported.size() == 4);
+        assertEquals(List.of("s-1", "s-2", "s-3", "s-5"), reported.stream().map(Directory.Entry::id).toList());
+        assertEquals(List.of(false, true, true, false), reported.stream().map(Directory.Entry::serving).toList());
+        assertEquals(List.of(false, false, false, true), reported.stream().map(Directory.Entry::gone).toList());
     }
 }
--- a/src/test/java/slipfield/directory/consul/BlockingIndexTest.java
+++ b/src/test/java/slipfield/directory/consul/BlockingIndexTest.java
@@ -7,42 +7,42 @@
 import org.junit.jupiter.api.Test;
 import slipfield.directory.consul.BlockingIndex.Verdict;
 
-/** What an answer's headers mean. */
+/** Evaluation of the index and staleness headers of Consul's answers. */
 class BlockingIndexTest {
     private final BlockingIndex index = new BlockingIndex(2000, 2);
 
-    private Verdict told(String consulIndex) {
+    private Verdict answered(String consulIndex) {
         return index.answered(consulIndex, "true", "0");
     }
 
     @Test
-    void anIndexIsAskedWithAndTheSameOneIsNothingNew() {
-        assertEquals(Verdict.TAKE, told("7"));
+    void anUnchangedIndexMeansNothingHasChanged() {
+        assertEquals(Verdict.TAKE, answered("7"));
         assertEquals(7, index.index());
-        assertEquals(Verdict.SAME, told("7"));
-        assertEquals(Verdict.TAKE, told("8"));
+        assertEquals(Verdict.SAME, answered("7"));
+        assertEquals(Verdict.TAKE, answered("8"));
     }
 
     @Test
-    void oneThatGoesBackIsAskedForAgainAndThenBelieved() {
-        told("100");
-        assertEquals(Verdict.RESET, told("3"));
+    void aDecreasedIndexIsAcceptedAfterASecondAnswer() {
+        answered("100");
+        assertEquals(Verdict.RESET, answered("3"));
         assertEquals(0, index.index());
-        assertEquals(Verdict.TAKE, told("3"));
+        assertEquals(Verdict.TAKE, answered("3"));
         assertEquals(3, index.index());
-        assertEquals(Verdict.SAME, told("3"));
+        assertEquals(Verdict.SAME, answered("3"));
     }
 
     @Test
-    void oneThatWentBackAtAnAgentThatLaggedIsPassedOver() {
-        told("100");
-        assertEquals(Verdict.RESET, told("90"));
-        assertEquals(Verdict.TAKE, told("101"));
+    void aDecreasedIndexOfALaggingAgentIsDiscarded() {
+        answered("100");
+        assertEquals(Verdict.RESET, answered("90"));
+        assertEquals(Verdict.TAKE, answered("101"));
         assertEquals(101, index.index());
     }
 
     @Test
-    void withSeveralAgentsItIsBelievedAfterAsManyLooksAndOneMore() {
+    void aDecreasedIndexIsAcceptedAfterTheConfiguredConfirmations() {
         BlockingIndex three = new BlockingIndex(2000, 3);
         three.answered("100", "true", "0");
         assertEquals(Verdict.RESET, three.answered("3", "true", "0"));
@@ -52,16 +52,16 @@
     }
 
     @Test
-    void oneThatIsNoneOrNotOverZeroDoesNotBlock() {
+    void anAbsentOrNonPositiveIndexDoesNotBlock() {
         for (String none : new String[] {null, "0", "-4", "x", ""}) {
-            told("5");
-            assertEquals(Verdict.TAKE, told(none));
+            answered("5");
+            assertEquals(Verdict.TAKE, answered(none));
             assertEquals(0, index.index(), none);
         }
     }
 
     @Test
-    void anAnswerWithoutALeaderOrFromLongAgoIsStale() {
+    void anAnswerWithoutLeaderOrWithOldContactIsStale() {
         assertEquals(Verdict.STALE, index.answered("7", "false", "0"));
         assertEquals(Verdict.STALE, index.answered("7", "true", "2001"));
         assertEquals(0, index.index());
@@ -70,8 +70,8 @@
     }
 
     @Test
-    void aProbeOnlySaysWhetherToLook() {
-        told("7");
+    void aProbeOnlyReportsWhetherToFetchTheList() {
+        answered("7");
         assertEquals(Verdict.SAME, index.probed("7", "true", "0"));
         assertEquals(Verdict.TAKE, index.probed("8", "true", "0"));
         assertEquals(Verdict.TAKE, index.probed("3", "true", "0"));
@@ -81,15 +81,15 @@
     }
 
     @Test
-    void anotherAgentsListIsLookedAtWhole() {
-        told("7");
-        index.moved();
+    void afterAResetTheWholeListIsAccepted() {
+        answered("7");
+        index.reset();
         assertEquals(0, index.index());
-        assertEquals(Verdict.TAKE, told("7"));
+        assertEquals(Verdict.TAKE, answered("7"));
     }
 
     @Test
-    void whateverIsToldItNeverBlocksBelowOneAndNeverResetsTwiceInARow() {
+    void randomIndexesNeverBlockBelowOneNorResetTwiceInARow() {
         for (int seed = 0; seed < 2000; seed++) {
             Random random = new Random(seed);
             BlockingIndex any = new BlockingIndex(2000, 2);
@@ -100,7 +100,7 @@
                 assertTrue(verdict != Verdict.RESET || last != Verdict.RESET, "seed " + seed);
                 last = verdict;
                 if (random.nextInt(5) == 0) {
-                    any.moved();
+                    any.reset();
                 }
             }
         }
--- a/src/test/java/slipfield/directory/consul/ConsulDirectoryTest.java
+++ b/src/test/java/slipfield/directory/consul/ConsulDirectoryTest.java
@@ -33,7 +33,7 @@
 import slipfield.standin.ConsulCluster;
 import slipfield.standin.Stub;
 
-/** Consul as a source, against a stand-in with two agents over one cluster. */
+/** Consul as a source of endpoints, against a simulated cluster with two agents. */
 class ConsulDirectoryTest {
     @TempDir
     Path folder;
@@ -41,12 +41,12 @@
     private final ConsulCluster cluster = new ConsulCluster();
     private final ConsulAgent first = new ConsulAgent(group, cluster);
     private final ConsulAgent second = new ConsulAgent(group, cluster);
-    private final Heard heard = new Heard();
+    private final RecordingListener listener = new RecordingListener();
     private ConsulDirectory directory;
 
-    private static final class Heard implements ConsulDirectory.Listener {
+    private static final class RecordingListener implements ConsulDirectory.Listener {
         private final List<List<Instance>> lists = new CopyOnWriteArrayList<>();
-        private final List<String> troubles = new CopyOnWriteArrayList<>();
+        private final List<String> errors = new CopyOnWriteArrayList<>();
         private final AtomicInteger confirmed = new AtomicInteger();
 
         @Override
@@ -61,10 +61,10 @@
 
         @Override
         public void failed(String why) {
-            troubles.add(why);
+            errors.add(why);
         }
 
-        /** The last list, as id and status. */
+        /** The statuses of the last list by instance id. */
         Map<String, Status> last() {
             Map<String, Status> last = new TreeMap<>();
             if (!lists.isEmpty()) {
@@ -102,7 +102,7 @@
         }
         directory = new ConsulDirectory(ConsulSettings.read(
                 yaml("{agents: " + at + ", wait: 300ms" + more + "}")));
-        directory.start(recalled, heard);
+        directory.start(recalled, listener);
     }
 
     private Section yaml(String text) throws Exception {
@@ -110,7 +110,7 @@
     }
 
     private void await(Map<String, Status> last) throws Exception {
-        Stub.await(last + ", not " + heard.last() + " " + heard.troubles, () -> heard.last().equals(last));
+        Stub.await(last + ", not " + listener.last() + " " + listener.errors, () -> listener.last().equals(last));
     }
 
     private static Map<String, Status> all(Status v0) {
@@ -120,10 +120,10 @@
     private static final String VENUE = ", services: [{name: venue}]";
 
     @Test
-    void healthIsToldAsItChanges() throws Exception {
+    void healthChangesAreReported() throws Exception {
         start(VENUE, first);
         await(all(Status.PASSING));
-        Instance v0 = heard.lists.get(0).get(0);
+        Instance v0 = listener.lists.get(0).get(0);
         assertEquals(new Instance("venue/node-1/v0", "127.0.0.1:9000", 7, "", "", 1, Status.PASSING), v0);
         cluster.check("service:v0", "warning");
         await(all(Status.WARNING));
@@ -140,31 +140,31 @@
     }
 
     @Test
-    void nothingNewIsNoNewListButConfirmsTheOldOne() throws Exception {
+    void anUnchangedListIsConfirmed() throws Exception {
         start(VENUE, first);
-        Stub.await("it is confirmed", () -> heard.confirmed.get() >= 3);
-        assertEquals(1, heard.lists.size());
+        Stub.await("it is confirmed", () -> listener.confirmed.get() >= 3);
+        assertEquals(1, listener.lists.size());
         assertEquals(1, directory.queryCount());
     }
 
     @Test
-    void tagsAndMetadataSayWhatAnInstanceIs() throws Exception {
+    void tagsAndMetadataSetTheAttributesOfAnInstance() throws Exception {
         cluster.register("other", "o", "127.0.0.2", 9100, List.of("dest=8", "draining"),
                 Map.of("kind", "big", "zone", "b", "weight", "2.5"));
         cluster.register("other", "lost", "127.0.0.2", 9101, List.of(), Map.of());
         cluster.register("other", "odd", "127.0.0.2", 9102, List.of("dest=8"), Map.of("weight", "-1"));
         start(", services: [{name: other, kind: m, zone: a}]", first);
-        Stub.await("a list", () -> !heard.lists.isEmpty());
+        Stub.await("a list", () -> !listener.lists.isEmpty());
         assertEquals(List.of(new Instance("other/node-1/o", "127.0.0.2:9100", 8, "big", "b", 2.5, Status.DRAINING)),
-                heard.lists.get(0), "what names no destination, or a weight that is none, is left out");
+                listener.lists.get(0), "instances without destination or with an invalid weight are left out");
     }
 
     @Test
-    void aServiceThatBearsTheTagLaterIsWatchedThen() throws Exception {
+    void aServiceThatGetsTheTagLaterIsWatched() throws Exception {
         start(", tag: orders", first);
         await(all(Status.PASSING));
         cluster.register("late", "l", "127.0.0.1", 9200, List.of("orders"), Map.of("destination", "9"));
-        Stub.await("it is there", () -> heard.last().containsKey("l"));
+        Stub.await("it is there", () -> listener.last().containsKey("l"));
         cluster.deregister("l");
         await(all(Status.PASSING));
     }
@@ -172,16 +172,16 @@
     @ParameterizedTest
     @EnumSource(value = ConsulAgent.Fault.class, names = {"HANG", "ERROR", "TRUNCATED", "HUGE", "LAGS", "NO_LEADER",
         "REDIRECT", "SHAPE", "CLOSES"})
-    void anAgentWithAFaultIsLeftForTheNextAndItsWordIsNotTaken(ConsulAgent.Fault fault) throws Exception {
+    void afterAFaultTheNextAgentIsAskedAndTheAnswerIsDiscarded(ConsulAgent.Fault fault) throws Exception {
         start(VENUE, first, second);
         await(all(Status.PASSING));
         first.fault(fault);
         cluster.check("service:v0", "critical");
         await(all(Status.CRITICAL));
-        assertTrue(second.asked() > 0 || heard.troubles.isEmpty());
+        assertTrue(second.asked() > 0 || listener.errors.isEmpty());
         cluster.check("service:v0", "passing");
         await(all(Status.PASSING));
-        for (List<Instance> list : heard.lists) {
+        for (List<Instance> list : listener.lists) {
             assertEquals(3, list.size());
         }
     }
@@ -189,23 +189,23 @@
     @ParameterizedTest
     @EnumSource(value = ConsulAgent.Fault.class, names = {"HANG", "ERROR", "TRUNCATED", "HUGE", "LAGS", "NO_LEADER",
         "REDIRECT", "SHAPE", "CLOSES"})
-    void whileAllAgentsFailNothingIsToldButTheTroubleAndTheyAreAskedAgain(ConsulAgent.Fault fault) throws Exception {
+    void whileAllAgentsFailOnlyErrorsAreReportedAndAgentsAreRetried(ConsulAgent.Fault fault) throws Exception {
         start(VENUE, first);
         await(all(Status.PASSING));
         first.fault(fault);
-        Stub.await("its trouble is told", () -> heard.troubles.size() >= 3);
-        assertEquals(1, heard.lists.size());
-        int confirmed = heard.confirmed.get();
-        assertTrue(heard.troubles.get(0).startsWith("venue: " + Config.hostPort(first.address())),
-                heard.troubles.get(0));
+        Stub.await("errors are reported", () -> listener.errors.size() >= 3);
+        assertEquals(1, listener.lists.size());
+        int confirmed = listener.confirmed.get();
+        assertTrue(listener.errors.get(0).startsWith("venue: " + Config.hostPort(first.address())),
+                listener.errors.get(0));
         first.fault(ConsulAgent.Fault.NONE);
-        Stub.await("it is confirmed again", () -> heard.confirmed.get() > confirmed);
+        Stub.await("it is confirmed again", () -> listener.confirmed.get() > confirmed);
         cluster.check("service:v0", "critical");
         await(all(Status.CRITICAL));
     }
 
     @Test
-    void aFilterOfTheOperatorsIsHandedOn() throws Exception {
+    void theOperatorsFilterIsSent() throws Exception {
         cluster.register("venue", "v3", "127.0.0.1", 9003, List.of("spare"), Map.of("destination", "7"));
         start(VENUE + ", filter: '\"orders\" in Service.Tags'", first);
         await(all(Status.PASSING));
@@ -214,9 +214,9 @@
     }
 
     @Test
-    void aFilterThatConsulRefusesIsTold() throws Exception {
+    void aRejectedFilterIsReported() throws Exception {
         start(VENUE + ", filter: nonsense", first);
-        Stub.await("it is told", () -> heard.troubles.stream().anyMatch(t -> t.contains("answered 400")));
+        Stub.await("it is told", () -> listener.errors.stream().anyMatch(t -> t.contains("answered 400")));
     }
 
     @Test
@@ -224,7 +224,7 @@
         start(VENUE, first);
         await(all(Status.PASSING));
         long lists = first.listed();
-        Stub.await("it is confirmed", () -> heard.confirmed.get() >= 4);
+        Stub.await("it is confirmed", () -> listener.confirmed.get() >= 4);
         assertEquals(lists, first.listed());
         cluster.check("service:v0", "critical");
         await(all(Status.CRITICAL));
@@ -232,7 +232,7 @@
     }
 
     @Test
-    void anIndexThatGoesBackIsGivenUp() throws Exception {
+    void aDecreasedIndexIsReset() throws Exception {
         for (int i = 0; i < 50; i++) {
             cluster.check("service:v1", i % 2 == 0 ? "critical" : "passing");
         }
@@ -247,7 +247,7 @@
     }
 
     @Test
-    void anAgentThatLagsUnawareIsNotTakenForNews() throws Exception {
+    void theListOfALaggingAgentIsDiscarded() throws Exception {
         start(VENUE, first, second);
         await(all(Status.PASSING));
         second.fault(ConsulAgent.Fault.LAGS_UNAWARE);
@@ -257,14 +257,14 @@
         Stub.await("the other is asked", () -> second.asked() > 0);
         first.fault(ConsulAgent.Fault.NONE);
         cluster.check("service:v1", "warning");
-        Stub.await("the news", () -> heard.last().get("v1") == Status.WARNING);
-        for (List<Instance> list : heard.lists.subList(1, heard.lists.size())) {
-            assertEquals(Status.CRITICAL, list.get(0).status(), "nobody went back to what lags: " + heard.lists);
+        Stub.await("the news", () -> listener.last().get("v1") == Status.WARNING);
+        for (List<Instance> list : listener.lists.subList(1, listener.lists.size())) {
+            assertEquals(Status.CRITICAL, list.get(0).status(), "the lagging list was not reported: " + listener.lists);
         }
     }
 
     @Test
-    void aTokenThatStopsWorkingIsReadAgain() throws Exception {
+    void aRejectedTokenIsReadAgain() throws Exception {
         Path file = folder.resolve("token");
         Files.writeString(file, "old\n");
         cluster.token("old");
@@ -272,29 +272,29 @@
         await(all(Status.PASSING));
         cluster.token("new");
         cluster.check("service:v0", "critical");
-        Stub.await("it is refused", () -> heard.troubles.stream().anyMatch(t -> t.contains("403")));
-        assertEquals(all(Status.PASSING), heard.last());
+        Stub.await("it is refused", () -> listener.errors.stream().anyMatch(t -> t.contains("403")));
+        assertEquals(all(Status.PASSING), listener.last());
         Files.writeString(file, "new\n");
         await(all(Status.CRITICAL));
     }
 
     @Test
-    void whatAnEarlierLifeKnewStandsForServicesThatWereNotReadYet() throws Exception {
+    void recalledInstancesAreKeptForServicesNotReadYet() throws Exception {
         Instance away = new Instance("away/n/x", "127.0.0.1:9300", 9, "", "", 1, Status.PASSING);
         Instance old = new Instance("venue/n/old", "127.0.0.1:9301", 7, "", "", 1, Status.PASSING);
         start(", services: [{name: venue}, {name: away}]", List.of(away, old), first);
-        Stub.await("both were read", () -> heard.last().equals(all(Status.PASSING)));
-        assertTrue(heard.lists.size() <= 2);
-        // Whichever was read first, the other stood as it was known.
-        assertTrue(heard.lists.get(0).contains(away) != heard.lists.get(0).contains(old), heard.lists.toString());
+        Stub.await("both were read", () -> listener.last().equals(all(Status.PASSING)));
+        assertTrue(listener.lists.size() <= 2);
+        // After the first service was read, the other one still had its recalled instance.
+        assertTrue(listener.lists.get(0).contains(away) != listener.lists.get(0).contains(old), listener.lists.toString());
     }
 
     @Test
-    void theSenderIsRegisteredKeptPassingAndTakenOff() throws Exception {
+    void theSenderIsRegisteredRenewedAndDeregistered() throws Exception {
         start(VENUE + ", register: {name: slipfield, tags: [sender], ttl: 600ms}", first, second);
         directory.register(new InetSocketAddress("127.0.0.1", 7070));
         Stub.await("it is there", () -> cluster.status("slipfield").equals("passing"));
-        // The agent forgets it: it is told again.
+        // The agent loses the registration: the sender registers again.
         cluster.deregister("slipfield-127.0.0.1-7070");
         Stub.await("it is there again", () -> cluster.status("slipfield").equals("passing"));
         long asked = first.asked();
@@ -305,7 +305,7 @@
     }
 
     @Test
-    void settingsThatAreWrongAreNamed() {
+    void invalidSettingsAreRejectedWithTheirPosition() {
         assertWrong("{}", ":1:1: agents names none");
         assertWrong("agents: ['consul:8500']\ntag: t", ":1:10: agents: not an address");
         assertWrong("agents: [127.0.0.1:1]", "say which services");
