--- a/src/main/java/slipfield/fleet/DiscoveryBackoff.java
+++ b/src/main/java/slipfield/fleet/DiscoveryBackoff.java
@@ -3,78 +3,83 @@
 import java.util.random.RandomGenerator;
 
 /**
- * When a discovery that many senders share is asked again. A call that it turns away, or lets time out, has cost it work
- * all the same: senders that come back at a fixed pace keep it overloaded for good once it is, long after the cause is
- * gone. So the pause after such a call is drawn, and its bound doubles with each in a row, until the calls of all senders
- * together are fewer than it can answer, however many senders there are. (AWS Architecture Blog, "Exponential Backoff and
- * Jitter"; Bronson and others, "Metastable Failures in Distributed Systems", HotOS 2021.)
+ * Decides when a sender asks discovery again, which it shares with many senders. A call that discovery rejects or lets time
+ * out costs it work too, so senders that retry at a fixed interval would keep it overloaded long after the cause is gone.
+ * Therefore the pause after a rejected call is random, and its upper bound doubles with each consecutive rejection, until all
+ * senders together call less often than discovery can answer, for any number of senders. (AWS Architecture Blog, "Exponential
+ * Backoff and Jitter"; Bronson and others, "Metastable Failures in Distributed Systems", HotOS 2021.)
  *
- * <p>Silence is another matter: a discovery that is down costs nothing to ask, and what it has to tell counts as told soon
- * after it is back. There the pause stays short, and is drawn only so that senders do not ask in step. A list that came and
- * can't be used is the same: it cost its asker nothing to wait for, and what it said has to be heard soon.
+ * <p>After no answer the pause stays short: calling a discovery that is down costs nothing, and its changes count as reported
+ * soon after it is back. The pause is random only so that senders don't call at the same time. A list that can't be used is
+ * handled the same way, because its content counts as reported and must be received soon.
  */
 public final class DiscoveryBackoff {
-    /** What came of a call. */
+    /** Result of a call to discovery. */
     public enum Result {
-        /** What was asked for. */
+        /** A valid list. */
         LIST,
-        /** An answer that tells nothing: there is a discovery, and it has too much to do. */
+        /** An answer without a list: discovery is up but overloaded. */
         REJECTED,
-        /** A list that can't be used: what it tells counts as told all the same. */
+        /** A list that can't be used, although its content counts as reported. */
         UNUSABLE,
-        /** None, in its time. */
+        /** No answer before the time-out. */
         NONE
     }
 
     /**
-     * Bound of the pause after the first call that was turned away, in ms: for each sender, as all may have called, and at
-     * least. It grows to the most in so many doublings: a call from each of a hundred senders then comes every two seconds.
+     * Upper bound of the pause after the first rejected call: 250 ms per sender, as all senders may have called at once, and
+     * 1000 ms at least. It doubles up to three times, so that each of 100 senders comes to a call every two seconds.
      */
-    private static final long FIRST_EACH_MS = 250;
-    private static final long FIRST_LEAST_MS = 1000;
+    private static final long FIRST_PER_SENDER_MS = 250;
+    private static final long FIRST_MIN_MS = 1000;
     private static final int DOUBLINGS = 3;
-    /** No news for longer than this would be as bad as what it guards against. */
-    private static final long MOST_MS = 30_000;
-    /** The share of a bound that a pause has at least: else some come back at once. */
-    private static final double LEAST_SHARE = 0.25;
-    /** Bounds of the pause after silence, in ms. */
-    static final long SILENT_LEAST_MS = 100;
-    static final long SILENT_MOST_MS = 600;
-    /** A whole list that took so long, in ms, tells that discovery has much to do. */
+    /** Upper bound of all pauses. Without updates for longer, a sender would be as badly off as with an overload. */
+    private static final long MAX_PAUSE_MS = 30_000;
+    /** Shortest pause as a share of its upper bound; without it some senders would retry at once. */
+    private static final double MIN_SHARE = 0.25;
+    /** Bounds of the pause after no answer, in ms. */
+    static final long NO_ANSWER_MIN_MS = 100;
+    static final long NO_ANSWER_MAX_MS = 600;
+    /** An answer that took at least this long, in ms, counts as a sign of load on discovery. */
     static final double SLOW_MS = 100;
 
     /**
-     * Bound of the pause between a list and the watch on it, in ms, however many senders: what the agent hears meanwhile
-     * counts as told, and nothing new may go to an endpoint 2 s after it was told to drain.
+     * Upper bound of the pause between a list and the next poll, in ms, for any number of senders: changes that reach the agent
+     * meanwhile count as reported, and an endpoint must get no new messages from 2 s after its drain was reported.
      */
-    static final long UNWATCHED_MOST_MS = 1000;
+    static final long POLL_DELAY_MAX_MS = 1000;
 
     private final RandomGenerator random;
     private final double firstMs;
-    private int turnedAway;
+    private int rejections;
 
-    /** One of so many {@code senders}; pauses are drawn from {@code random}, which must differ from sender to sender. */
+    /**
+     * Creates the backoff of one sender.
+     *
+     * @param senders number of senders that share the discovery
+     * @param random source of the pauses; its seed must differ between senders
+     */
     public DiscoveryBackoff(int senders, RandomGenerator random) {
         this.random = random;
-        this.firstMs = Math.min(MOST_MS, Math.max(FIRST_LEAST_MS, FIRST_EACH_MS * (long) senders));
+        this.firstMs = Math.min(MAX_PAUSE_MS, Math.max(FIRST_MIN_MS, FIRST_PER_SENDER_MS * (long) senders));
     }
 
     /**
-     * The pause before the next call, in ms; 0: at once. The watch that follows a list is a call of its own, which a
-     * discovery with much to do had better get later.
+     * Returns the pause before the next call, in ms; 0 for no pause. The poll that follows a list is another call, which is
+     * delayed if discovery is loaded.
      *
-     * @param tookMs how long the answer took, beyond what it was allowed to wait for news
+     * @param tookMs duration of the call beyond the wait that it asked for; negative if a change ended the wait early
      */
-    public long pause(Result answer, double tookMs) {
-        switch (answer) {
+    public long pause(Result result, double tookMs) {
+        switch (result) {
             case LIST:
-                turnedAway = 0;
-                return tookMs < SLOW_MS ? 0 : (long) (random.nextDouble() * Math.min(firstMs, UNWATCHED_MOST_MS));
+                rejections = 0;
+                return tookMs < SLOW_MS ? 0 : (long) (random.nextDouble() * Math.min(firstMs, POLL_DELAY_MAX_MS));
             case REJECTED:
-                double bound = Math.min(MOST_MS, firstMs * (1 << Math.min(turnedAway++, DOUBLINGS)));
-                return (long) (bound * (LEAST_SHARE + (1 - LEAST_SHARE) * random.nextDouble()));
+                double bound = Math.min(MAX_PAUSE_MS, firstMs * (1 << Math.min(rejections++, DOUBLINGS)));
+                return (long) (bound * (MIN_SHARE + (1 - MIN_SHARE) * random.nextDouble()));
             default:
-                return (long) (SILENT_LEAST_MS + random.nextDouble() * (SILENT_MOST_MS - SILENT_LEAST_MS));
+                return (long) (NO_ANSWER_MIN_MS + random.nextDouble() * (NO_ANSWER_MAX_MS - NO_ANSWER_MIN_MS));
         }
     }
 }
--- a/src/main/java/slipfield/fleet/package-info.java
+++ b/src/main/java/slipfield/fleet/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What one sender of many does, so that what is harmless when one does it stays harmless when all do: when a discovery
- * that they share is asked again. Pure: no I/O, no clock but the time it is told, nothing of the rest of the project.
+ * Rules that keep many senders from overloading a service that they share: when discovery is asked again. Pure logic: no I/O,
+ * no clock of its own, no dependency on the rest of the project.
  */
 package slipfield.fleet;
--- a/src/test/java/slipfield/fleet/DiscoveryBackoffTest.java
+++ b/src/test/java/slipfield/fleet/DiscoveryBackoffTest.java
@@ -16,21 +16,21 @@
 import slipfield.fleet.DiscoveryBackoff.Result;
 
 class DiscoveryBackoffTest {
-    /** When each sender first heard a list, in ms from the moment at which all asked; and the calls of the busiest second. */
-    private record Outcome(double[] heardAt, long calls) {
+    /** When each sender received its first list, in ms after all called at once, and the total number of calls. */
+    private record Outcome(double[] receivedAt, long calls) {
         double last() {
-            return Arrays.stream(heardAt).max().orElseThrow();
+            return Arrays.stream(receivedAt).max().orElseThrow();
         }
     }
 
     /**
-     * All senders ask one discovery at one moment. It answers one call after the other; one that has waited for its
-     * time-out is answered 503 then, though its work is still done, and one that would wait longer than that at once.
+     * Simulates senders that all call one discovery at once. It handles calls one at a time. A call that reaches its time-out
+     * gets a 503 then, though its work is still done; a call that would wait longer for its start gets a 503 at once.
      */
     private static Outcome allAtOnce(int senders, double callMs, long seed) {
         double timeoutMs = 2000;
-        double[] heardAt = new double[senders];
-        Arrays.fill(heardAt, Double.POSITIVE_INFINITY);
+        double[] receivedAt = new double[senders];
+        Arrays.fill(receivedAt, Double.POSITIVE_INFINITY);
         DiscoveryBackoff[] backoffs = new DiscoveryBackoff[senders];
         PriorityQueue<double[]> due = new PriorityQueue<>(Comparator.comparingDouble(d -> d[0]));
         for (int i = 0; i < senders; i++) {
@@ -48,30 +48,30 @@
             double endsAt = begins + callMs;
             freeAt = refused ? freeAt : endsAt;
             if (!refused && endsAt - call[0] <= timeoutMs) {
-                heardAt[i] = Math.min(heardAt[i], endsAt);
+                receivedAt[i] = Math.min(receivedAt[i], endsAt);
                 continue;
             }
             double answered = refused ? call[0] : call[0] + timeoutMs;
             due.add(new double[] {answered + backoffs[i].pause(Result.REJECTED, answered - call[0]), i});
         }
-        return new Outcome(heardAt, calls);
+        return new Outcome(receivedAt, calls);
     }
 
-    /** Found on a fleet day: fourteen senders asked every 100 ms after a refusal and had no list for half a minute. */
+    /** Guards against an incident: 14 senders retried 100 ms after each rejection and got no list for half a minute. */
     @ParameterizedTest
     @CsvSource({"14, 140", "14, 570", "60, 140", "1, 500"})
-    void manyThatAskAtOnceAllHearBeforeLong(int senders, double callMs) {
+    void allSendersThatCallAtOnceReceiveAListWithinTheBound(int senders, double callMs) {
         for (long seed = 1; seed <= 20; seed++) {
             Outcome outcome = allAtOnce(senders, callMs, 1000 * seed);
-            // What the work alone takes, thrice, and the pauses of one that has no luck twice.
+            // Three times the work alone, plus the pauses of a sender that is rejected twice.
             double bound = 3 * senders * callMs + 2 * 250 * senders + 4000;
-            assertTrue(outcome.last() <= bound, "the last heard after " + outcome.last() + " ms, seed " + seed);
+            assertTrue(outcome.last() <= bound, "last list received after " + outcome.last() + " ms, seed " + seed);
             assertTrue(outcome.calls() <= 4L * senders, "calls: " + outcome.calls() + ", seed " + seed);
         }
     }
 
     @Test
-    void pausesAfterRefusalsAreSpreadAndGrowToABound() {
+    void pausesAfterRejectionsAreRandomAndGrowToABound() {
         for (int senders : List.of(0, 1, 14, 1000)) {
             DiscoveryBackoff backoff = new DiscoveryBackoff(senders, new SplittableRandom(7));
             double first = Math.min(30_000, Math.max(1000, 250 * senders));
@@ -81,12 +81,12 @@
                 assertTrue(pause >= bound / 4 - 1 && pause <= bound, pause + " of " + bound);
             }
             backoff.pause(Result.LIST, 1);
-            assertTrue(backoff.pause(Result.REJECTED, 5) <= first, "a list ends the growth");
+            assertTrue(backoff.pause(Result.REJECTED, 5) <= first, "a list resets the bound");
         }
     }
 
     @Test
-    void aDiscoveryThatIsSilentIsAskedAgainSoonAndNotInStep() {
+    void anUnresponsiveDiscoveryIsRetriedSoonAtRandomTimes() {
         Deque<Long> pauses = new ArrayDeque<>();
         for (long seed = 0; seed < 14; seed++) {
             DiscoveryBackoff backoff = new DiscoveryBackoff(14, new SplittableRandom(seed));
@@ -96,30 +96,30 @@
             }
         }
         assertTrue(pauses.stream().allMatch(p -> p >= 100 && p <= 600), pauses.toString());
-        assertTrue(pauses.stream().distinct().count() > 100, "drawn");
+        assertTrue(pauses.stream().distinct().count() > 100, "pauses are random");
     }
 
     @Test
-    void aWatchGoesOnAtOnceUnlessTheListBeforeItWasSlow() {
+    void theNextPollIsDelayedOnlyAfterASlowList() {
         DiscoveryBackoff backoff = new DiscoveryBackoff(14, new SplittableRandom(3));
         assertEquals(0, backoff.pause(Result.LIST, 3));
-        assertEquals(0, backoff.pause(Result.LIST, -2990), "news came before the wait was over");
+        assertEquals(0, backoff.pause(Result.LIST, -2990), "a change ended the wait early");
         long later = 0;
         for (int i = 0; i < 50; i++) {
             long pause = backoff.pause(Result.LIST, 800);
             assertTrue(pause <= 1000, "pause " + pause);
             later += pause > 200 ? 1 : 0;
         }
-        assertTrue(later > 30, "spread, lest all that heard a list watch at one moment");
+        assertTrue(later > 30, "spread, so that senders don't all poll at once");
     }
 
     /**
-     * Found on a day of rolling restarts with 97 senders: after a list that took 100 ms nothing was watched for up to 24 s,
-     * and what the agent heard meanwhile counted as told. Half of the rule's 2 s is left for the watch's own answer.
+     * Guards against an incident in rolling restarts of 97 senders: after a list that took 100 ms the next poll came up to 24 s
+     * later, while changes at the agent counted as reported. Half of the allowed 2 s is left for the poll's answer.
      */
     @ParameterizedTest
     @CsvSource({"1", "3", "14", "97", "300", "10000"})
-    void noFleetIsSoLargeThatADrainGoesUnwatched(int senders) {
+    void theDelayOfTheNextPollIsBoundedForAnyNumberOfSenders(int senders) {
         DiscoveryBackoff backoff = new DiscoveryBackoff(senders, new SplittableRandom(senders));
         for (int i = 0; i < 1000; i++) {
             assertTrue(backoff.pause(Result.LIST, 100 + i) <= 1000);
