--- a/src/main/java/slipfield/sim/SimulatorAdapter.java
+++ b/src/main/java/slipfield/sim/SimulatorAdapter.java
@@ -21,7 +21,7 @@
 import slipfield.config.Params;
 import slipfield.policy.DeliveryPolicy;
 
-/** The adapter: the simulator's wire to {@link DeliveryPolicy} and back, for many instances. It decides nothing. */
+/** Translates between the simulator's line protocol and {@link DeliveryPolicy}, for many instances. Makes no decisions. */
 public final class SimulatorAdapter {
     private final BufferedReader in;
     private final PrintStream out;
@@ -39,13 +39,13 @@
         this.err = err;
     }
 
-    /** Speaks the wire on standard input and output until the input ends; returns the exit code as {@link #run} does. */
+    /** Serves the protocol on standard input and output until the input ends; returns the exit code of {@link #run}. */
     public static int serve() {
         OutputStream out = new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), 1 << 16);
         return new SimulatorAdapter(System.in, new PrintStream(out, false, StandardCharsets.UTF_8), System.err).run();
     }
 
-    /** Answers batches until input ends; returns the exit code: 0, or 1 after input that can't be read. */
+    /** Answers batches until the input ends. Returns the exit code: 0, or 1 after invalid or unreadable input. */
     public int run() {
         try {
             for (String line = nextLine(); line != null; line = nextLine()) {
@@ -89,18 +89,18 @@
             }
             Runnable event = event(name, instance, fields);
             touched.add(instance);
-            guarded(instance, event);
+            runGuarded(instance, event);
         }
         for (String instance : touched) {
-            guarded(instance, () -> policy(instance).endIteration(now));
+            runGuarded(instance, () -> policy(instance).endIteration(now));
         }
         out.print(reply);
         out.print("YIELD " + batch + "\n");
         out.flush();
     }
 
-    /** An exception in the module becomes the wire's fault action, with its text on one line. */
-    private void guarded(String instance, Runnable event) {
+    /** Runs an event; an exception of the policy becomes a BUG line of the reply, with its text on one line. */
+    private void runGuarded(String instance, Runnable event) {
         try {
             event.run();
         } catch (RuntimeException e) {
@@ -115,7 +115,7 @@
                 Params params = f.pairs();
                 DeliveryPolicy.Settings read = params.settings();
                 settings.put(instance, params);
-                return () -> instances.put(instance, DeliveryPolicy.create(read, seed, new Wire(instance)));
+                return () -> instances.put(instance, DeliveryPolicy.create(read, seed, new ReplyWriter(instance)));
             }
             case "UPDATE":
                 return update(instance, f);
@@ -206,25 +206,25 @@
         DeliveryPolicy.AttemptOutcome outcome = outcome(f.text("state_code"));
         double took = f.number("wait_time_ms");
         boolean finished = f.whole("no_more") != 0;
-        double note = f.numberOr("hold_ms", 0);
-        double wait = outcome == DeliveryPolicy.AttemptOutcome.FULL ? note : 0;
-        DeliveryPolicy.LimitReport told = told(instance, f.optional("server_stats"));
-        DeliveryPolicy.AttemptEnd end = new DeliveryPolicy.AttemptEnd(message, attempt, outcome, took, finished, wait, told);
+        double holdMs = f.numberOr("hold_ms", 0);
+        double wait = outcome == DeliveryPolicy.AttemptOutcome.FULL ? holdMs : 0;
+        DeliveryPolicy.LimitReport reported = limitReport(instance, f.optional("server_stats"));
+        DeliveryPolicy.AttemptEnd end = new DeliveryPolicy.AttemptEnd(message, attempt, outcome, took, finished, wait, reported);
         return () -> policy(instance).attemptEnded(now, end);
     }
 
-    private DeliveryPolicy.LimitReport told(String instance, Optional<String> report) throws BadInput {
-        String[] figures = report.orElse("").split(",");
+    private DeliveryPolicy.LimitReport limitReport(String instance, Optional<String> report) throws BadInput {
+        String[] values = report.orElse("").split(",");
         Params params = settings.get(instance);
-        if (params == null || figures[0].isEmpty()) {
+        if (params == null || values[0].isEmpty()) {
             return DeliveryPolicy.LimitReport.NOTHING;
         }
-        return new DeliveryPolicy.LimitReport(figure(figures, params.reportField(Params.REPORTED_RATE)),
-                figure(figures, params.reportField(Params.REPORTED_REMAINING)));
+        return new DeliveryPolicy.LimitReport(valueAt(values, params.reportField(Params.REPORTED_RATE)),
+                valueAt(values, params.reportField(Params.REPORTED_REMAINING)));
     }
 
-    private static double figure(String[] figures, int at) throws BadInput {
-        return at < 0 || at >= figures.length ? Double.NaN : Params.parse(figures[at]);
+    private static double valueAt(String[] values, int at) throws BadInput {
+        return at < 0 || at >= values.length ? Double.NaN : Params.parse(values[at]);
     }
 
     private static DeliveryPolicy.AttemptOutcome outcome(String code) throws BadInput {
@@ -249,17 +249,17 @@
         reply.append('\n');
     }
 
-    /** The actions of one instance, written as lines of the reply. */
-    private final class Wire implements DeliveryPolicy.Actions {
+    /** Writes the actions of one instance as lines of the reply. */
+    private final class ReplyWriter implements DeliveryPolicy.Actions {
         private final String instance;
 
-        Wire(String instance) {
+        ReplyWriter(String instance) {
             this.instance = instance;
         }
 
         @Override
-        public void send(long message, long endpoint, DeliveryPolicy.AttemptTiming within) {
-            action("SUBMIT_TO", instance, message, within.timeoutMs(), endpoint);
+        public void send(long message, long endpoint, DeliveryPolicy.AttemptTiming timing) {
+            action("SUBMIT_TO", instance, message, timing.timeoutMs(), endpoint);
         }
 
         @Override
@@ -293,7 +293,7 @@
         }
     }
 
-    /** The parts of one line, taken in order. */
+    /** Reads the space-separated fields of one line in order. */
     private static final class Fields {
         private final String line;
         private int at;
--- a/src/main/java/slipfield/sim/package-info.java
+++ b/src/main/java/slipfield/sim/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The adapter to the simulator's wire: many decision modules on standard input and output. May use {@code policy} and
- * {@code config}.
+ * Adapter to the simulator's line protocol on standard input and output, for many delivery policies in one process. May use
+ * {@code policy} and {@code config}.
  */
 package slipfield.sim;
--- a/src/test/java/slipfield/sim/SimulatorAdapterTest.java
+++ b/src/test/java/slipfield/sim/SimulatorAdapterTest.java
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** The adapter's reading and writing of the wire. */
+/** Parsing and writing of the simulator's line protocol. */
 class SimulatorAdapterTest {
     private static final String SETTINGS = "classes.count=1"
             + " classes.0.aim_ms=2000.0 classes.0.give_up_ms=16000.0 "
@@ -26,7 +26,7 @@
     private String errors;
     private int code;
 
-    private String drill(String input) {
+    private String run(String input) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         ByteArrayInputStream in = new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8));
@@ -47,8 +47,8 @@
     }
 
     @Test
-    void aConversation() {
-        String out = drill(batch(1, 8412.25) + batch(2, 8413.25, start("sender/0"))
+    void aMessageIsSubmittedAndDelivered() {
+        String out = run(batch(1, 8412.25) + batch(2, 8413.25, start("sender/0"))
                 + batch(3, 8414.5, "SUBMIT sender/0 9 0 - - 16000.0 - 7 0")
                 + batch(4, 8500.5, "ATTEMPT_END sender/0 9 0 51 success 86.0 1 - -"));
         assertEquals("YIELD 1\nYIELD 2\nSUBMIT_TO sender/0 9 2500.0 51\nNOTIFY_ME sender/0 9414.5 0\n"
@@ -58,8 +58,8 @@
     }
 
     @Test
-    void instancesShareNothing() {
-        String out = drill(batch(1, 1.0, start("sender/0"), start("sender/1"))
+    void instancesAreIndependent() {
+        String out = run(batch(1, 1.0, start("sender/0"), start("sender/1"))
                 + batch(2, 2.0, "SUBMIT sender/1 9 0 - - 16000.0 - 7 0",
                         "SUBMIT sender/0 9 0 - - 16000.0 - 7 0"));
         assertEquals("YIELD 1\nSUBMIT_TO sender/1 9 2500.0 51\nNOTIFY_ME sender/1 1002.0 0\n"
@@ -68,7 +68,7 @@
 
     @Test
     void aListNumberMayBeUsedAgainWithinABatch() {
-        String out = drill(batch(1, 1.0, "SPAWN sender/0 5 " + SETTINGS, "SPAWN sender/1 5 " + SETTINGS,
+        String out = run(batch(1, 1.0, "SPAWN sender/0 5 " + SETTINGS, "SPAWN sender/1 5 " + SETTINGS,
                 LIST + "UPDATE sender/0 remembered 4 0", "ROSTER 0 1\nROW 52 0 0 7 SERVING 1 -",
                 "UPDATE sender/1 all 5 0", "SUBMIT sender/0 9 0 - - 16000.0 - 7 0",
                         "SUBMIT sender/1 9 0 - - 16000.0 - 7 0"));
@@ -77,31 +77,31 @@
     }
 
     @Test
-    void aRefusedListLeavesTheOldOne() {
-        String out = drill(batch(1, 1.0, start("sender/0"))
+    void aRefusedListKeepsThePreviousOne() {
+        String out = run(batch(1, 1.0, start("sender/0"))
                 + batch(2, 2.0, "UPDATE sender/0 refused 4 -", "SUBMIT sender/0 9 0 - - 16000.0 - 7 0"));
         assertTrue(out.contains("SUBMIT_TO sender/0 9 2500.0 51"), out);
     }
 
     @Test
-    void aRestartForgetsEverything() {
-        String out = drill(batch(1, 1.0, start("sender/0"), "SUBMIT sender/0 9 0 - - 16000.0 - 7 0")
+    void aRestartedInstanceStartsWithoutState() {
+        String out = run(batch(1, 1.0, start("sender/0"), "SUBMIT sender/0 9 0 - - 16000.0 - 7 0")
                 + batch(2, 2.0, "KILLED sender/0", start("sender/0"),
                         "SUBMIT sender/0 9 0 - - 16000.0 - 7 0"));
         assertEquals(2, out.split("SUBMIT_TO sender/0 9 ", -1).length - 1);
     }
 
     @Test
-    void fieldsBeyondTheKnownOnesAreSkipped() {
-        String out = drill(batch(1, 1.0, start("sender/0"))
+    void unknownTrailingFieldsAreIgnored() {
+        String out = run(batch(1, 1.0, start("sender/0"))
                 + batch(2, 2.0, "SUBMIT sender/0 9 0 - - 16000.0 - 7 0 more fields"));
         assertTrue(out.contains("SUBMIT_TO"), out);
         assertEquals(0, code);
     }
 
     @Test
-    void anExceptionInTheModuleBecomesTheFaultAction() {
-        String out = drill(batch(1, 1.0, start("sender/0"))
+    void anExceptionOfThePolicyIsReportedAsBug() {
+        String out = run(batch(1, 1.0, start("sender/0"))
                 + batch(2, 2.0, "ATTEMPT_END sender/0 9 0 51 success 86.0 1 - -"));
         String fault = "BUG sender/0 java.lang.IllegalArgumentException: unknown attempt 0 of message 9\n";
         assertTrue(out.contains(fault), out);
@@ -109,22 +109,22 @@
     }
 
     @Test
-    void badInputIsNamedByLineAndEndsTheRun() {
-        check("BATCH 1.0 1\nWHATEVER sender/0 1\nFLUSH\n", "line 2: unknown event WHATEVER");
-        check("BATCH 1.0 1\nSUBMIT sender/0 x\nFLUSH\n", "line 2: field req is not a whole number: x");
-        check("BATCH 1.0 1\nSUBMIT sender/0 4\nFLUSH\n", "line 2: field kind is missing");
-        check("BATCH 1.0 1\n", "line 2: input ends inside batch 1");
-        check("BATCH 1.0 1\nROSTER 0 2\nROW 51 0 0 7 SERVING 1 -\n", "line 4: input ends inside list 0");
-        check("BATCH one 1\n", "line 1: field clock is not a number: one");
-        check("HELLO\n", "line 1: expected BATCH, found HELLO");
-        check("BATCH 1.0 1\nSPAWN sender/0 5 classes.count=1\nFLUSH\n",
+    void invalidInputEndsTheRunWithItsLineNumber() {
+        assertRejected("BATCH 1.0 1\nWHATEVER sender/0 1\nFLUSH\n", "line 2: unknown event WHATEVER");
+        assertRejected("BATCH 1.0 1\nSUBMIT sender/0 x\nFLUSH\n", "line 2: field req is not a whole number: x");
+        assertRejected("BATCH 1.0 1\nSUBMIT sender/0 4\nFLUSH\n", "line 2: field kind is missing");
+        assertRejected("BATCH 1.0 1\n", "line 2: input ends inside batch 1");
+        assertRejected("BATCH 1.0 1\nROSTER 0 2\nROW 51 0 0 7 SERVING 1 -\n", "line 4: input ends inside list 0");
+        assertRejected("BATCH one 1\n", "line 1: field clock is not a number: one");
+        assertRejected("HELLO\n", "line 1: expected BATCH, found HELLO");
+        assertRejected("BATCH 1.0 1\nSPAWN sender/0 5 classes.count=1\nFLUSH\n",
                 "line 2: setting classes.0.repeat is missing");
-        check("BATCH 1.0 1\nUPDATE sender/0 all 4 3\nFLUSH\n",
+        assertRejected("BATCH 1.0 1\nUPDATE sender/0 all 4 3\nFLUSH\n",
                 "line 2: UPDATE names a list that was not given");
     }
 
-    private void check(String input, String message) {
-        String out = drill(input);
+    private void assertRejected(String input, String message) {
+        String out = run(input);
         assertEquals(1, code);
         assertEquals(message + System.lineSeparator(), errors);
         assertFalse(out.contains("YIELD"), out);
