--- a/src/test/java/slipfield/directory/consul/ConsulDirectoryTest.java
+++ b/src/test/java/slipfield/directory/consul/ConsulDirectoryTest.java
@@ -216,7 +216,7 @@
     @Test
     void aRejectedFilterIsReported() throws Exception {
         start(VENUE + ", filter: nonsense", first);
-        Stub.await("it is told", () -> listener.errors.stream().anyMatch(t -> t.contains("answered 400")));
+        Stub.await("the rejection is reported", () -> listener.errors.stream().anyMatch(t -> t.contains("answered 400")));
     }
 
     @Test
