--- a/src/test/java/slipfield/policy/EndpointHealthTest.java
+++ b/src/test/java/slipfield/policy/EndpointHealthTest.java
@@ -5,13 +5,13 @@
 import org.junit.jupiter.api.Test;
 import slipfield.policy.DeliveryPolicy.State;
 
-/** One endpoint's state, from the ends of its calls. */
+/** The state of one endpoint, derived from the outcomes of its calls. */
 class EndpointHealthTest {
     private final EndpointHealth health = new EndpointHealth(0, 12_000, (from, to, reason) -> { });
 
-    /** A single refused connection between deliveries is no outage; from the second in a short time on it is one. */
+    /** A single refused connection between deliveries is no outage. From the second one in a short time on it is. */
     @Test
-    void connectionsThatAreRefusedAgainAndAgainAreNoBlip() {
+    void repeatedlyRefusedConnectionsAreAnOutage() {
         health.delivered(20_000, 19_950);
         health.unreachable(20_100);
         assertEquals(State.DOWN, health.state());
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void aRampEndsByTimeThoughNoCallEnds() {
+    void aSlowStartEndsByTimeEvenIfNoCallEnds() {
         health.destinationOutage(1000, true);
         health.delivered(5000, 4900);
         assertEquals(State.WARMING, health.state());
@@ -37,9 +37,9 @@
         assertEquals(State.UP, health.state());
     }
 
-    /** As where this sender's own connections fail for a moment: that leaves nobody cold. */
+    /** As when this sender's own connections fail briefly: the destination was not out, so it needs no slow start. */
     @Test
-    void aDestinationThatWasUnreachableForAMomentHasNoRamp() {
+    void aDestinationThatWasBrieflyUnreachableNeedsNoSlowStart() {
         health.delivered(20_000, 19_950);
         health.destinationOutage(20_400, false);
         health.delivered(20_900, 20_850);
--- a/src/test/java/slipfield/policy/FleetBench.java
+++ b/src/test/java/slipfield/policy/FleetSimulation.java
@@ -15,18 +15,20 @@
 import slipfield.policy.DeliveryPolicy.AttemptOutcome;
 
 /**
- * Many instances of the module on one clock, against modelled destinations whose limits hold for all of them together and
- * where refused calls use the limit up. Arrivals are thin and drawn; what answers tell of a limit is old by then. All is
- * drawn from one seed.
+ * Simulates a fleet of senders, each with its own instance of the decision module, on one clock. The limit of a modelled
+ * destination applies to all senders together, and refused calls use it up too. Arrivals are random and of low rate, and limits
+ * that answers report are old on arrival. One seed determines everything.
  */
-final class FleetBench extends SimulatedTime {
-    /** How a limit counts: evenly with some burst, or in spans of time. A debt of refused calls is carried on. */
-    enum Counts {
+final class FleetSimulation extends SimulatedTime {
+    /** How a limit counts calls. Refused calls count too and are carried over. */
+    enum LimitKind {
+        /** At a constant rate, with a burst. */
         RATE,
+        /** In fixed windows of time. */
         WINDOW
     }
 
-    /** What a destination that is out does with a call. */
+    /** What a destination in an outage does with a call. */
     enum Outage {
         REFUSES_CONNECTIONS,
         ANSWERS_ERRORS,
@@ -37,8 +39,8 @@
     private static final double LATENCY_MS = 50;
     private static final double CONNECT_MS = 20;
     private static final double KEEP_ALIVE_MS = 15_000;
-    /** What answers tell is refreshed so often, and is so much older on arrival. */
-    private static final double REPORT_MS = 500;
+    /** Destinations refresh the limit that their answers report at this interval; on arrival it is older by the delay. */
+    private static final double REPORT_INTERVAL_MS = 500;
     private static final double REPORT_DELAY_MS = 150;
     private static final double RATE_BURST_MS = 1000;
     private static final double WINDOW_MS = 1500;
@@ -50,100 +52,101 @@
     record Call(double at, int sender, boolean delivered) {
     }
 
-    /** Endpoint numbers of one destination are so far apart. */
+    /** Distance between the endpoint numbers of one destination. */
     private static final long ENDPOINT_STRIDE = 1000;
 
-    /** One destination; its endpoints share its limit. */
+    /** A destination, whose endpoints share its limit. */
     final class Destination {
         final long id;
-        final Counts counts;
+        final LimitKind limitKind;
         double perSecond;
-        boolean tells = true;
+        boolean reportsLimit = true;
         boolean down;
-        /** While it is down. */
+        /** How it behaves while it is down. */
         Outage outage = Outage.REFUSES_CONNECTIONS;
-        /** The share of calls that an outage strikes. */
-        double struck = 1;
+        /** The share of calls that fail in an outage. */
+        double failureShare = 1;
         int endpoints = 1;
-        /** Connections that it holds at most; one that was not used for the settings' time is closed. */
-        int mostConnections = Integer.MAX_VALUE;
-        /** Turned away as all connections were taken. */
-        long crowded;
+        /** The most connections that it keeps open. Idle ones are closed after the keep-alive time. */
+        int maxConnections = Integer.MAX_VALUE;
+        /** Calls that were refused because all connections were in use. */
+        long refusedConnections;
         /** When each sender's connection was last used. */
         private final Map<Integer, Double> connections = new HashMap<>();
-        /** Back from an outage since then, cold. */
-        double coldSince = Double.NEGATIVE_INFINITY;
+        /** When it came back from an outage, at reduced capacity. */
+        double recoveredAt = Double.NEGATIVE_INFINITY;
         final List<Call> calls = new ArrayList<>();
-        long refusedConnects;
-        /** Senders that have seen a call fail or be refused here in an outage. */
-        final Set<Integer> met = new HashSet<>();
+        long failedConnects;
+        /** Senders that had a call fail or be refused here during an outage. */
+        final Set<Integer> affectedSenders = new HashSet<>();
         private double used;
         private double usedAt;
         private double windowEnds;
-        private final Deque<double[]> told = new ArrayDeque<>();
-        private double leftTold = 1;
-        private double rateTold;
+        private final Deque<double[]> reports = new ArrayDeque<>();
+        private double reportedShare = 1;
+        private double reportedRate;
 
-        private Destination(long id, Counts counts, double perSecond) {
+        private Destination(long id, LimitKind limitKind, double perSecond) {
             this.id = id;
-            this.counts = counts;
+            this.limitKind = limitKind;
             this.perSecond = perSecond;
-            this.rateTold = perSecond;
+            this.reportedRate = perSecond;
         }
 
-        /** The most that is taken at once: the burst, or a span's worth. */
-        private double most() {
-            return Math.max(1, perSecond * (counts == Counts.RATE ? RATE_BURST_MS : WINDOW_MS) / 1000);
+        /** Returns the most calls that are admitted at once: the burst, or the calls of one window. */
+        private double capacity() {
+            return Math.max(1, perSecond * (limitKind == LimitKind.RATE ? RATE_BURST_MS : WINDOW_MS) / 1000);
         }
 
         private void refresh() {
-            if (counts == Counts.RATE) {
+            if (limitKind == LimitKind.RATE) {
                 used = Math.max(0, used - (now - usedAt) * perSecond / 1000);
             } else {
                 while (now >= windowEnds) {
-                    used = Math.max(0, used - most());
+                    used = Math.max(0, used - capacity());
                     windowEnds += WINDOW_MS;
                 }
             }
             usedAt = now;
         }
 
-        /** The share of warm capacity that it has. */
-        double warmth() {
-            return Math.min(1, 0.2 + 0.8 * (now - coldSince) / 12_000);
+        /** Returns the share of its full capacity that it has now, 0 to 1. */
+        double warmShare() {
+            return Math.min(1, 0.2 + 0.8 * (now - recoveredAt) / 12_000);
         }
 
-        /** Whether the sender has a connection, or finds room for one. */
+        /** Returns whether the sender has a connection or can open one. */
         private boolean connects(int sender) {
-            connections.values().removeIf(used -> used < now - KEEP_ALIVE_MS);
-            if (!connections.containsKey(sender) && connections.size() >= mostConnections) {
-                crowded++;
+            connections.values().removeIf(lastUsed -> lastUsed < now - KEEP_ALIVE_MS);
+            if (!connections.containsKey(sender) && connections.size() >= maxConnections) {
+                refusedConnections++;
                 return false;
             }
             connections.put(sender, now);
             return true;
         }
 
-        private boolean takes() {
+        private boolean admits() {
             refresh();
-            // What is refused uses the limit up too, to a span's worth of debt at most.
-            boolean free = used + 1 <= most();
-            used = Math.min(used + 1, 2 * most());
+            // Refused calls use up the limit too, to at most one window's calls beyond it.
+            boolean free = used + 1 <= capacity();
+            used = Math.min(used + 1, 2 * capacity());
             return free;
         }
 
         private void report() {
             refresh();
-            told.add(new double[] {now + REPORT_DELAY_MS, Math.max(0, 1 - used / most()), perSecond});
+            reports.add(new double[] {now + REPORT_DELAY_MS, Math.max(0, 1 - used / capacity()), perSecond});
         }
 
-        private DeliveryPolicy.LimitReport tells() {
-            while (!told.isEmpty() && told.peek()[0] <= now) {
-                double[] newest = told.remove();
-                leftTold = newest[1];
-                rateTold = newest[2];
+        private DeliveryPolicy.LimitReport limitReport() {
+            while (!reports.isEmpty() && reports.peek()[0] <= now) {
+                double[] newest = reports.remove();
+                reportedShare = newest[1];
+                reportedRate = newest[2];
             }
-            return tells ? new DeliveryPolicy.LimitReport(rateTold * (0.93 + 0.14 * random.nextDouble()), leftTold)
+            return reportsLimit
+                    ? new DeliveryPolicy.LimitReport(reportedRate * (0.93 + 0.14 * random.nextDouble()), reportedShare)
                     : DeliveryPolicy.LimitReport.NOTHING;
         }
 
@@ -155,12 +158,12 @@
             return calls.stream().filter(c -> c.delivered && c.at >= from && c.at < to).count();
         }
 
-        /** The same, of senders that have met its outage. */
-        long callsOfMet(double from, double to) {
-            return calls.stream().filter(c -> c.at >= from && c.at < to && met.contains(c.sender)).count();
+        /** Counts the calls of senders that were affected by its outage. */
+        long callsOfAffected(double from, double to) {
+            return calls.stream().filter(c -> c.at >= from && c.at < to && affectedSenders.contains(c.sender)).count();
         }
 
-        /** The most calls in any span of so long from then on. */
+        /** Returns the most calls in any interval of {@code spanMs} after {@code from}. */
         long busiest(double from, double spanMs) {
             Deque<Double> span = new ArrayDeque<>();
             int most = 0;
@@ -177,15 +180,15 @@
         }
     }
 
-    /** One sender with its own instance, until it is killed. */
+    /** A sender process with its own instance of the decision module. */
     private final class Sender implements DeliveryPolicy.Actions {
         private final int number;
         private final DeliveryPolicy policy;
-        private final Map<Long, DeliveryPolicy.Message> held = new LinkedHashMap<>();
+        private final Map<Long, DeliveryPolicy.Message> pending = new LinkedHashMap<>();
         private final Map<Long, Integer> attempts = new HashMap<>();
         private final Map<Long, List<DeliveryPolicy.PreviousAttempt>> earlier = new HashMap<>();
-        private final Map<Long, DeliveryPolicy.SendRate> paces = new HashMap<>();
-        private final Map<Long, DeliveryPolicy.Health> healths = new HashMap<>();
+        private final Map<Long, DeliveryPolicy.SendRate> savedRates = new HashMap<>();
+        private final Map<Long, DeliveryPolicy.Health> savedHealth = new HashMap<>();
         private final Map<String, Runnable> hanging = new HashMap<>();
         private final int fleetSize;
         private boolean alive = true;
@@ -207,47 +210,47 @@
             policy.endIteration(now);
         }
 
-        private void take(DeliveryPolicy.Message m) {
-            held.put(m.id(), m);
+        private void accept(DeliveryPolicy.Message m) {
+            pending.put(m.id(), m);
             policy.messageAccepted(now, m);
             policy.endIteration(now);
         }
 
         @Override
-        public void send(long message, long endpoint, DeliveryPolicy.AttemptTiming within) {
+        public void send(long message, long endpoint, DeliveryPolicy.AttemptTiming timing) {
             int attempt = attempts.merge(message, 1, Integer::sum) - 1;
             earlier.computeIfAbsent(message, m -> new ArrayList<>()).add(new DeliveryPolicy.PreviousAttempt(endpoint, now, true));
             double sent = now;
             Destination d = destinations.get(endpoint % ENDPOINT_STRIDE);
             at(now + CONNECT_MS, () -> {
-                if (d.down && (d.struck == 1 || random.nextDouble() < d.struck)) {
-                    strike(d, message, attempt, sent, within);
+                if (d.down && (d.failureShare == 1 || random.nextDouble() < d.failureShare)) {
+                    failInOutage(d, message, attempt, sent, timing);
                     return;
                 }
-                boolean delivered = d.connects(number) && d.takes();
+                boolean delivered = d.connects(number) && d.admits();
                 d.calls.add(new Call(now, number, delivered));
                 at(now + LATENCY_MS, () -> end(message, attempt, delivered ? AttemptOutcome.DELIVERED : AttemptOutcome.FULL, sent,
-                        d.tells()));
+                        d.limitReport()));
             });
         }
 
-        private void strike(Destination d, long message, int attempt, double sent, DeliveryPolicy.AttemptTiming within) {
+        private void failInOutage(Destination d, long message, int attempt, double sent, DeliveryPolicy.AttemptTiming timing) {
             switch (d.outage) {
                 case REFUSES_CONNECTIONS -> {
-                    d.refusedConnects++;
-                    meet(d, message, attempt, AttemptOutcome.UNREACHABLE, sent);
+                    d.failedConnects++;
+                    endAffected(d, message, attempt, AttemptOutcome.UNREACHABLE, sent);
                 }
-                case ANSWERS_ERRORS -> at(now + LATENCY_MS, () -> meet(d, message, attempt, AttemptOutcome.ERROR, sent));
+                case ANSWERS_ERRORS -> at(now + LATENCY_MS, () -> endAffected(d, message, attempt, AttemptOutcome.ERROR, sent));
                 case ANSWERS_FULL -> {
-                    d.takes();
-                    at(now + LATENCY_MS, () -> meet(d, message, attempt, AttemptOutcome.FULL, sent));
+                    d.admits();
+                    at(now + LATENCY_MS, () -> endAffected(d, message, attempt, AttemptOutcome.FULL, sent));
                 }
                 case HANGS -> {
-                    Runnable cancelled = () -> meet(d, message, attempt, AttemptOutcome.CANCELLED, sent);
+                    Runnable cancelled = () -> endAffected(d, message, attempt, AttemptOutcome.CANCELLED, sent);
                     hanging.put(message + "/" + attempt, cancelled);
-                    at(sent + within.timeoutMs(), () -> {
+                    at(sent + timing.timeoutMs(), () -> {
                         if (hanging.remove(message + "/" + attempt) != null) {
-                            meet(d, message, attempt, AttemptOutcome.TIMED_OUT, sent);
+                            endAffected(d, message, attempt, AttemptOutcome.TIMED_OUT, sent);
                         }
                     });
                 }
@@ -255,51 +258,53 @@
             }
         }
 
-        private void meet(Destination d, long message, int attempt, AttemptOutcome outcome, double sent) {
+        private void endAffected(Destination d, long message, int attempt, AttemptOutcome outcome, double sent) {
             if (d.down) {
-                d.met.add(number);
+                d.affectedSenders.add(number);
             }
-            end(message, attempt, outcome, sent, outcome == AttemptOutcome.FULL ? d.tells() : DeliveryPolicy.LimitReport.NOTHING);
+            end(message, attempt, outcome, sent,
+                    outcome == AttemptOutcome.FULL ? d.limitReport() : DeliveryPolicy.LimitReport.NOTHING);
         }
 
-        private void end(long message, int attempt, AttemptOutcome outcome, double sent, DeliveryPolicy.LimitReport told) {
+        private void end(long message, int attempt, AttemptOutcome outcome, double sent, DeliveryPolicy.LimitReport limitReport) {
             if (!alive) {
                 return;
             }
-            boolean finished = !held.containsKey(message);
+            boolean finished = !pending.containsKey(message);
             if (outcome == AttemptOutcome.DELIVERED && !finished) {
-                over(message, true);
+                finish(message, true);
                 finished = true;
             }
-            policy.attemptEnded(now, new DeliveryPolicy.AttemptEnd(message, attempt, outcome, now - sent, finished, 0, told));
+            policy.attemptEnded(now,
+                    new DeliveryPolicy.AttemptEnd(message, attempt, outcome, now - sent, finished, 0, limitReport));
             policy.endIteration(now);
         }
 
-        private void over(long message, boolean delivered) {
-            DeliveryPolicy.Message m = held.remove(message);
-            double age = now - takenAt.get(message);
+        private void finish(long message, boolean delivered) {
+            DeliveryPolicy.Message m = pending.remove(message);
+            double age = now - acceptedAt.get(message);
             ends.add(new End(m.destination(), now, delivered ? age : Double.POSITIVE_INFINITY));
         }
 
         @Override
         public void cancel(long message, int attempt) {
-            // The model's other calls run on, and their ends come as they are.
-            Optional.ofNullable(hanging.remove(message + "/" + attempt)).ifPresent(ends -> at(now, ends));
+            // Only hanging calls can be cancelled. All others run to their end.
+            Optional.ofNullable(hanging.remove(message + "/" + attempt)).ifPresent(event -> at(now, event));
         }
 
         @Override
         public void closeIdle(long endpoint) {
-            // Connections are not modelled.
+            // The simulation does not model idle connections of a sender.
         }
 
         @Override
         public void refuse(long message, double waitMs) {
-            over(message, false);
+            finish(message, false);
         }
 
         @Override
         public void fail(long message) {
-            over(message, false);
+            finish(message, false);
         }
 
         @Override
@@ -314,170 +319,170 @@
 
         @Override
         public void saveHealth(long endpoint, DeliveryPolicy.Health health) {
-            healths.put(endpoint, health);
+            savedHealth.put(endpoint, health);
         }
 
         @Override
-        public void saveSendRate(long destination, long route, DeliveryPolicy.SendRate pace) {
-            paces.put(destination, pace);
+        public void saveSendRate(long destination, long route, DeliveryPolicy.SendRate rate) {
+            savedRates.put(destination, rate);
         }
 
         @Override
         public void log(String text) {
-            // Nothing here reads them.
+            // Not recorded.
         }
     }
 
-    /** How a message ended: its age when delivered, endless if it was not. */
+    /** How a message ended; {@code age}: at its delivery in ms, infinite if it was not delivered. */
     record End(long destination, double at, double age) {
     }
 
     final Map<Long, Destination> destinations = new LinkedHashMap<>();
     final List<End> ends = new ArrayList<>();
     private final List<Sender> senders = new ArrayList<>();
-    private final Map<Long, Double> takenAt = new HashMap<>();
+    private final Map<Long, Double> acceptedAt = new HashMap<>();
     private final Random random;
     private final long seed;
-    /** Of the messages, by sender; none where all have the same share. */
+    /** The relative share of the messages that each sender gets; empty if all get the same. */
     private double[] shares = new double[0];
     private final Set<Long> untried = new HashSet<>();
     private long messages;
 
-    FleetBench(long seed) {
+    FleetSimulation(long seed) {
         this.seed = seed;
         this.random = new Random(seed);
     }
 
-    Destination destination(Counts counts, double perSecond) {
-        Destination d = new Destination(destinations.size() + 1, counts, perSecond);
+    Destination destination(LimitKind limitKind, double perSecond) {
+        Destination d = new Destination(destinations.size() + 1, limitKind, perSecond);
         destinations.put(d.id, d);
-        reportFrom(d, random.nextDouble() * REPORT_MS);
+        reportFrom(d, random.nextDouble() * REPORT_INTERVAL_MS);
         return d;
     }
 
     private void reportFrom(Destination d, double at) {
         at(at, () -> {
             d.report();
-            reportFrom(d, now + REPORT_MS);
+            reportFrom(d, now + REPORT_INTERVAL_MS);
         });
     }
 
-    /** So many senders, whose settings say that there are {@code fleetSize}. */
-    FleetBench senders(int many, int fleetSize) {
-        for (int i = 0; i < many; i++) {
+    /** Adds senders whose settings give {@code fleetSize} as the size of the fleet. */
+    FleetSimulation senders(int count, int fleetSize) {
+        for (int i = 0; i < count; i++) {
             senders.add(new Sender(i, seed * 1000 + i, fleetSize));
         }
         return this;
     }
 
-    /** Messages for this destination at so many a second from all clients, each to a sender that lives, until then. */
-    FleetBench offer(Destination d, double perSecond, double from, double until) {
+    /** Submits messages for this destination from all clients at a mean rate, each to a random running sender. */
+    FleetSimulation offer(Destination d, double perSecond, double from, double until) {
         double next = from - Math.log(1 - random.nextDouble()) * 1000 / perSecond;
         if (next < until) {
             at(next, () -> {
-                handIn(d);
+                submit(d);
                 offer(d, perSecond, now, until);
             });
         }
         return this;
     }
 
-    /** From now on senders see uneven shares of the messages: the first so many see so many times what others do. */
-    FleetBench uneven(int many, double times) {
+    /** Distributes the messages unevenly from now on: the first {@code count} senders get {@code times} the others' share. */
+    FleetSimulation uneven(int count, double times) {
         shares = new double[senders.size()];
         for (int i = 0; i < shares.length; i++) {
-            shares[i] = i < many ? times : 1;
+            shares[i] = i < count ? times : 1;
         }
         return this;
     }
 
-    /** So many messages for it in this moment. */
-    FleetBench clump(Destination d, int many, double at) {
+    /** Submits {@code count} messages for this destination at one moment. */
+    FleetSimulation burst(Destination d, int count, double at) {
         at(at, () -> {
-            for (int i = 0; i < many; i++) {
-                handIn(d);
+            for (int i = 0; i < count; i++) {
+                submit(d);
             }
         });
         return this;
     }
 
-    private void handIn(Destination d) {
+    private void submit(Destination d) {
         long id = messages++;
-        takenAt.put(id, now);
-        drawn().take(new DeliveryPolicy.Message(id, 0, 0, Optional.empty(), CLASS_DEADLINE_MS, d.id));
+        acceptedAt.put(id, now);
+        randomSender().accept(new DeliveryPolicy.Message(id, 0, 0, Optional.empty(), CLASS_DEADLINE_MS, d.id));
     }
 
-    private Sender drawn() {
-        List<Sender> living = senders.stream().filter(s -> s.alive).toList();
+    private Sender randomSender() {
+        List<Sender> running = senders.stream().filter(s -> s.alive).toList();
         if (shares.length == 0) {
-            return living.get(random.nextInt(living.size()));
+            return running.get(random.nextInt(running.size()));
         }
-        double at = random.nextDouble() * living.stream().mapToDouble(s -> shares[s.number]).sum();
-        for (Sender s : living) {
+        double at = random.nextDouble() * running.stream().mapToDouble(s -> shares[s.number]).sum();
+        for (Sender s : running) {
             at -= shares[s.number];
             if (at < 0) {
                 return s;
             }
         }
-        return living.get(living.size() - 1);
+        return running.get(running.size() - 1);
     }
 
-    /** What restarts found taken on and untried, with time left. */
-    long foundUntried() {
+    /** Counts the messages that restarts found accepted but untried, with time left. */
+    long restoredUntried() {
         return untried.size();
     }
 
-    /** So many of those were tried since. */
-    long triedSince() {
+    /** Counts how many of those were tried since. */
+    long triedAfterRestore() {
         return untried.stream().filter(id -> senders.stream().anyMatch(s -> s.attempts.getOrDefault(id, 0) > 0)).count();
     }
 
-    /** A sender is killed, and comes back after so long with its journal: what it held, and what it remembered. */
+    /** Kills a sender and starts it again {@code afterMs} later, with the pending messages, rates and health from its journal. */
     void restart(int number, double afterMs) {
-        Sender dead = senders.get(number);
-        dead.alive = false;
+        Sender killed = senders.get(number);
+        killed.alive = false;
         at(now + afterMs, () -> {
-            Sender next = new Sender(number, seed * 1000 + 500 + number, dead.fleetSize);
-            next.paces.putAll(dead.paces);
-            next.healths.putAll(dead.healths);
-            dead.healths.forEach((id, health) -> next.policy.healthRestored(now, id, health));
-            dead.paces.forEach((id, pace) -> next.policy.sendRateRestored(now, id, DeliveryPolicy.ALL_ROUTES, pace));
-            for (DeliveryPolicy.Message m : dead.held.values()) {
-                List<DeliveryPolicy.PreviousAttempt> earlier = dead.earlier.getOrDefault(m.id(), List.of());
-                next.held.put(m.id(), m);
-                if (earlier.isEmpty() && now < takenAt.get(m.id()) + CLASS_DEADLINE_MS) {
+            Sender next = new Sender(number, seed * 1000 + 500 + number, killed.fleetSize);
+            next.savedRates.putAll(killed.savedRates);
+            next.savedHealth.putAll(killed.savedHealth);
+            killed.savedHealth.forEach((id, health) -> next.policy.healthRestored(now, id, health));
+            killed.savedRates.forEach((id, rate) -> next.policy.sendRateRestored(now, id, DeliveryPolicy.ALL_ROUTES, rate));
+            for (DeliveryPolicy.Message m : killed.pending.values()) {
+                List<DeliveryPolicy.PreviousAttempt> earlier = killed.earlier.getOrDefault(m.id(), List.of());
+                next.pending.put(m.id(), m);
+                if (earlier.isEmpty() && now < acceptedAt.get(m.id()) + CLASS_DEADLINE_MS) {
                     untried.add(m.id());
                 }
                 next.attempts.put(m.id(), earlier.size());
                 next.policy.messageRestored(now, new DeliveryPolicy.Message(m.id(), 0, 0, Optional.empty(),
-                        Math.max(10, CLASS_DEADLINE_MS - (now - takenAt.get(m.id()))), m.destination()), earlier);
+                        Math.max(10, CLASS_DEADLINE_MS - (now - acceptedAt.get(m.id()))), m.destination()), earlier);
             }
             next.policy.endIteration(now);
             senders.set(number, next);
         });
     }
 
-    /** The first so many senders die; what they held is not seen again. */
-    void kill(int many) {
-        for (int i = 0; i < many; i++) {
+    /** Kills the first {@code count} senders for good, with their pending messages. */
+    void kill(int count) {
+        for (int i = 0; i < count; i++) {
             senders.get(i).alive = false;
         }
     }
 
-    FleetBench until(double end) {
+    FleetSimulation until(double end) {
         pass(end);
         return this;
     }
 
-    /** The mean worth of what ended in the span. */
+    /** Returns the mean worth of the messages that ended in an interval. */
     double worth(double from, double to) {
         return ends.stream().filter(e -> e.at >= from && e.at < to).mapToDouble(e -> e.age == Double.POSITIVE_INFINITY ? 0
                 : Math.max(ORDER.lateWorth(), Math.pow(0.5, Math.max(0, e.age - ORDER.aimMs()) / ORDER.aimMs())))
                 .average().orElse(0);
     }
 
-    /** Delivered within this age, as a share of all that ended in the span. */
-    double inTime(double ageMs, double from, double to) {
+    /** Returns the share delivered at this age or earlier, of all messages that ended in an interval. */
+    double shareWithin(double ageMs, double from, double to) {
         long all = ends.stream().filter(e -> e.at >= from && e.at < to).count();
         return (double) ends.stream().filter(e -> e.at >= from && e.at < to && e.age <= ageMs).count() / Math.max(1, all);
     }
--- a/src/test/java/slipfield/policy/Bench.java
+++ b/src/test/java/slipfield/policy/PolicyHarness.java
@@ -17,54 +17,57 @@
 import slipfield.policy.DeliveryPolicy.AttemptOutcome;
 import slipfield.policy.DeliveryPolicy.RepeatSafety;
 
-/** A caller of the module for tests: a clock, recorded actions and, where strict, a check of the rules. */
-final class Bench implements DeliveryPolicy.Actions {
-    private static final double STEP = 5;
+/**
+ * Drives an instance of the decision module in tests: a simulated clock, a record of the actions and, if {@code strict}, a
+ * check of the rules on repeats, zones, windows and order at each action.
+ */
+final class PolicyHarness implements DeliveryPolicy.Actions {
+    private static final double STEP_MS = 5;
 
-    record Sent(long message, int attempt, long endpoint, double at, double timeout) {
+    record SentAttempt(long message, int attempt, long endpoint, double at, double timeout) {
     }
 
-    private record Due(double at, long number, Runnable event) {
+    private record ScheduledEvent(double at, long number, Runnable event) {
     }
 
-    final List<Sent> sends = new ArrayList<>();
+    final List<SentAttempt> sends = new ArrayList<>();
     final List<String> cancels = new ArrayList<>();
-    final List<Long> closes = new ArrayList<>();
+    final List<Long> idleCloses = new ArrayList<>();
     final List<String> answers = new ArrayList<>();
     final List<Double> wakes = new ArrayList<>();
     final Map<Long, DeliveryPolicy.Health> health = new HashMap<>();
-    final List<DeliveryPolicy.SendRate> paces = new ArrayList<>();
-    final List<Double> waits = new ArrayList<>();
+    final List<DeliveryPolicy.SendRate> savedRates = new ArrayList<>();
+    final List<Double> refusalDelays = new ArrayList<>();
     final DeliveryPolicy policy;
-    Consumer<Sent> onSend = s -> { };
+    Consumer<SentAttempt> onSend = s -> { };
     boolean strict;
     double listedRate;
-    double toldRate;
+    double reportedRate;
     double now;
 
-    private final PriorityQueue<Due> due =
-            new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::number));
+    private final PriorityQueue<ScheduledEvent> due =
+            new PriorityQueue<>(Comparator.comparingDouble(ScheduledEvent::at).thenComparingLong(ScheduledEvent::number));
     private final Map<Long, DeliveryPolicy.Message> messages = new HashMap<>();
     private final Map<Long, Integer> attempts = new HashMap<>();
     private final Map<Long, DeliveryPolicy.Endpoint> endpoints = new HashMap<>();
-    private final Map<String, AttemptOutcome> ends = new HashMap<>();
-    private final Set<Long> over = new HashSet<>();
-    private final Map<String, List<Long>> byKey = new HashMap<>();
-    private long count;
+    private final Map<String, AttemptOutcome> outcomes = new HashMap<>();
+    private final Set<Long> finishedMessages = new HashSet<>();
+    private final Map<String, List<Long>> idsByKey = new HashMap<>();
+    private long eventCount;
 
-    Bench() {
+    PolicyHarness() {
         this(10);
     }
 
-    Bench(int slots) {
+    PolicyHarness(int slots) {
         this(slots, 2);
     }
 
-    Bench(int slots, int senders) {
+    PolicyHarness(int slots, int senders) {
         this(slots, senders, 7);
     }
 
-    Bench(int slots, int senders, long seed) {
+    PolicyHarness(int slots, int senders, long seed) {
         List<DeliveryPolicy.Kind> kinds =
                 List.of(new DeliveryPolicy.Kind(false, 1), new DeliveryPolicy.Kind(false, 5), new DeliveryPolicy.Kind(true, 1));
         DeliveryPolicy.Settings settings = new DeliveryPolicy.Settings(WaveDeliveryPolicyTest.CLASSES, kinds, true,
@@ -74,14 +77,14 @@
         policy = DeliveryPolicy.create(settings, seed, this);
     }
 
-    Bench list(long destination, long... ids) {
+    PolicyHarness list(long destination, long... ids) {
         for (long id : ids) {
             entry(id, destination, 0, 0, true);
         }
         return this;
     }
 
-    Bench entry(long id, long destination, int kind, int zone, boolean serving) {
+    PolicyHarness entry(long id, long destination, int kind, int zone, boolean serving) {
         DeliveryPolicy.Endpoint entry = new DeliveryPolicy.Endpoint(id, destination, kind, zone, serving, listedRate);
         endpoints.put(id, entry);
         policy.endpointsChanged(now, false, List.of(entry));
@@ -89,51 +92,53 @@
         return this;
     }
 
-    void gone(long id, long destination) {
+    void remove(long id, long destination) {
         policy.endpointsChanged(now, false, List.of(new DeliveryPolicy.Endpoint(id, destination, 0, 0, false, listedRate, true)));
         policy.endIteration(now);
     }
 
-    void take(long id, int type, long destination) {
-        take(id, type, destination, "key " + id);
+    void accept(long id, int type, long destination) {
+        accept(id, type, destination, "key " + id);
     }
 
-    void take(long id, int type, long destination, String key) {
-        handIn(id, type, destination, key);
+    void accept(long id, int type, long destination, String key) {
+        submit(id, type, destination, key);
         policy.endIteration(now);
     }
 
-    void takeTogether(int many, int type, long destination) {
+    /** Accepts messages 1 to {@code many} in one event-loop iteration. */
+    void acceptTogether(int many, int type, long destination) {
         for (long id = 1; id <= many; id++) {
-            handIn(id, type, destination, "key " + id);
+            submit(id, type, destination, "key " + id);
         }
         policy.endIteration(now);
     }
 
-    /** One message each so many milliseconds, numbered on from those taken before, until that time. */
-    void takeEvery(double gap, int type, long destination, double end) {
+    /** Accepts a message every {@code gap} ms until {@code end}. The numbers continue from the messages accepted before. */
+    void acceptEvery(double gap, int type, long destination, double end) {
         while (now < end) {
-            take(messages.size(), type, destination);
+            accept(messages.size(), type, destination);
             until(now + gap);
         }
     }
 
-    private void handIn(long id, int type, long destination, String key) {
+    private void submit(long id, int type, long destination, String key) {
         DeliveryPolicy.Message m = new DeliveryPolicy.Message(id, type, 0, Optional.of(key), 16_000, destination);
         policy.messageAccepted(now, m);
         messages.put(id, m);
         if (WaveDeliveryPolicyTest.CLASSES.get(type).inOrder()) {
-            byKey.computeIfAbsent(key, k -> new ArrayList<>()).add(id);
+            idsByKey.computeIfAbsent(key, k -> new ArrayList<>()).add(id);
         }
     }
 
-    /** A message of an earlier life, with the attempts made then. */
-    void resume(long id, int type, long destination, double leftMs, List<DeliveryPolicy.PreviousAttempt> earlier) {
-        resumeInTurn(id, type, destination, leftMs, earlier);
+    /** Restores a message of the previous process, with the attempts made then. */
+    void restore(long id, int type, long destination, double leftMs, List<DeliveryPolicy.PreviousAttempt> earlier) {
+        restoreInIteration(id, type, destination, leftMs, earlier);
         policy.endIteration(now);
     }
 
-    void resumeInTurn(long id, int type, long destination, double leftMs, List<DeliveryPolicy.PreviousAttempt> earlier) {
+    /** Restores a message without ending the event-loop iteration. */
+    void restoreInIteration(long id, int type, long destination, double leftMs, List<DeliveryPolicy.PreviousAttempt> earlier) {
         DeliveryPolicy.Message m = new DeliveryPolicy.Message(id, type, 0, Optional.of("key " + id), leftMs, destination);
         attempts.put(id, earlier.size());
         messages.put(id, m);
@@ -145,38 +150,38 @@
     }
 
     void end(long message, int attempt, AttemptOutcome outcome, double waitMs) {
-        boolean finished = outcome == AttemptOutcome.DELIVERED || over.contains(message);
-        ends.put(message + "/" + attempt, outcome);
+        boolean finished = outcome == AttemptOutcome.DELIVERED || finishedMessages.contains(message);
+        outcomes.put(message + "/" + attempt, outcome);
         if (outcome == AttemptOutcome.DELIVERED) {
-            over.add(message);
+            finishedMessages.add(message);
         }
         policy.attemptEnded(now, new DeliveryPolicy.AttemptEnd(message, attempt, outcome, 10, finished, waitMs,
-                new DeliveryPolicy.LimitReport(toldRate, -1)));
+                new DeliveryPolicy.LimitReport(reportedRate, -1)));
         policy.endIteration(now);
     }
 
-    void endLater(Sent s, AttemptOutcome outcome, double took) {
+    void endLater(SentAttempt s, AttemptOutcome outcome, double took) {
         at(now + took, () -> {
-            if (!ends.containsKey(s.message + "/" + s.attempt)) {
+            if (!outcomes.containsKey(s.message + "/" + s.attempt)) {
                 end(s.message, s.attempt, outcome);
             }
         });
     }
 
     void withdraw(long id) {
-        over.add(id);
+        finishedMessages.add(id);
         policy.messageWithdrawn(now, id);
         policy.endIteration(now);
     }
 
     void at(double time, Runnable event) {
-        due.add(new Due(time, count++, event));
+        due.add(new ScheduledEvent(time, eventCount++, event));
     }
 
-    /** Lets time pass up to this moment, in steps of the caller's tick. */
+    /** Advances the clock to {@code end}, in steps of 5 ms, and runs the events that fall due. */
     void until(double end) {
-        while (now + STEP <= end) {
-            now += STEP;
+        while (now + STEP_MS <= end) {
+            now += STEP_MS;
             while (!due.isEmpty() && due.peek().at <= now) {
                 due.remove().event.run();
             }
@@ -184,60 +189,60 @@
     }
 
     long delivered() {
-        return ends.values().stream().filter(o -> o == AttemptOutcome.DELIVERED).count();
+        return outcomes.values().stream().filter(o -> o == AttemptOutcome.DELIVERED).count();
     }
 
     List<Long> sent() {
-        return sends.stream().map(Sent::message).toList();
+        return sends.stream().map(SentAttempt::message).toList();
     }
 
-    void allAnswered() {
+    void assertAllAnswered() {
         for (long id : messages.keySet()) {
-            assertTrue(over.contains(id), "message " + id + " got no answer");
+            assertTrue(finishedMessages.contains(id), "message " + id + " got no answer");
         }
     }
 
     @Override
-    public void send(long message, long endpoint, DeliveryPolicy.AttemptTiming within) {
+    public void send(long message, long endpoint, DeliveryPolicy.AttemptTiming timing) {
         int attempt = attempts.merge(message, 1, Integer::sum) - 1;
-        Sent s = new Sent(message, attempt, endpoint, now, within.timeoutMs());
+        SentAttempt s = new SentAttempt(message, attempt, endpoint, now, timing.timeoutMs());
         if (strict) {
-            check(s, within);
+            check(s, timing);
         }
         sends.add(s);
         onSend.accept(s);
     }
 
-    private void check(Sent s, DeliveryPolicy.AttemptTiming within) {
+    private void check(SentAttempt s, DeliveryPolicy.AttemptTiming timing) {
         DeliveryPolicy.Message m = messages.get(s.message);
         DeliveryPolicy.MessageClass type = WaveDeliveryPolicyTest.CLASSES.get(m.messageClass());
-        assertFalse(over.contains(s.message), "sent after the end");
+        assertFalse(finishedMessages.contains(s.message), "sent after its final answer");
         assertTrue(endpoints.get(s.endpoint).serving(), "sent to a draining endpoint");
         assertEquals(m.destination(), endpoints.get(s.endpoint).destination());
-        for (Sent earlier : sends) {
+        for (SentAttempt earlier : sends) {
             if (earlier.message != s.message) {
                 continue;
             }
-            AttemptOutcome outcome = ends.get(earlier.message + "/" + earlier.attempt);
+            AttemptOutcome outcome = outcomes.get(earlier.message + "/" + earlier.attempt);
             if (outcome != null && !outcome.mayHaveRun()) {
                 continue;
             }
             assertFalse(type.repeatSafety() == RepeatSafety.UNSAFE, "an unsafe message may have run twice");
             if (type.repeatSafety() == RepeatSafety.KEYED) {
-                assertTrue(now + within.latestWriteMs() <= earlier.at + type.deduplicationWindowMs(),
-                        "may come outside the window");
+                assertTrue(now + timing.latestWriteMs() <= earlier.at + type.deduplicationWindowMs(),
+                        "may arrive after the deduplication window");
                 assertTrue(!type.sameZone()
                         || endpoints.get(earlier.endpoint).zone() == endpoints.get(s.endpoint).zone());
             }
         }
         if (type.inOrder()) {
-            for (long other : byKey.get(m.key().orElseThrow())) {
+            for (long other : idsByKey.get(m.key().orElseThrow())) {
                 if (other == s.message) {
                     break;
                 }
-                assertTrue(over.contains(other), "an earlier message of the key is unfinished");
+                assertTrue(finishedMessages.contains(other), "an earlier message of the key is unfinished");
                 for (int i = 0; i < attempts.getOrDefault(other, 0); i++) {
-                    assertTrue(ends.containsKey(other + "/" + i), "an earlier attempt of the key is out");
+                    assertTrue(outcomes.containsKey(other + "/" + i), "an attempt of an earlier message of the key is out");
                 }
             }
         }
@@ -248,7 +253,7 @@
         cancels.add(message + "/" + attempt);
         if (strict) {
             at(now, () -> {
-                if (!ends.containsKey(message + "/" + attempt)) {
+                if (!outcomes.containsKey(message + "/" + attempt)) {
                     end(message, attempt, AttemptOutcome.CANCELLED);
                 }
             });
@@ -257,16 +262,16 @@
 
     @Override
     public void closeIdle(long endpoint) {
-        closes.add(endpoint);
+        idleCloses.add(endpoint);
     }
 
     @Override
     public void refuse(long message, double waitMs) {
-        waits.add(waitMs);
+        refusalDelays.add(waitMs);
         if (strict) {
-            RepeatSafety effect = WaveDeliveryPolicyTest.CLASSES.get(messages.get(message).messageClass()).repeatSafety();
-            for (int i = 0; effect == RepeatSafety.UNSAFE && i < attempts.getOrDefault(message, 0); i++) {
-                assertFalse(ends.get(message + "/" + i).mayHaveRun(), "refused though it may have run");
+            RepeatSafety repeatSafety = WaveDeliveryPolicyTest.CLASSES.get(messages.get(message).messageClass()).repeatSafety();
+            for (int i = 0; repeatSafety == RepeatSafety.UNSAFE && i < attempts.getOrDefault(message, 0); i++) {
+                assertFalse(outcomes.get(message + "/" + i).mayHaveRun(), "refused though it may have run");
             }
         }
         answer("refuse ", message);
@@ -278,7 +283,7 @@
     }
 
     private void answer(String what, long message) {
-        assertTrue(over.add(message), "a second answer");
+        assertTrue(finishedMessages.add(message), "a second final answer");
         answers.add(what + message);
     }
 
@@ -293,7 +298,7 @@
 
     @Override
     public void saveSendRate(long destination, long route, DeliveryPolicy.SendRate now) {
-        paces.add(now);
+        savedRates.add(now);
     }
 
     @Override
--- a/src/test/java/slipfield/policy/SlowStartTest.java
+++ b/src/test/java/slipfield/policy/SlowStartTest.java
@@ -6,11 +6,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What all senders of a fleet send together to a destination in trials and in a ramp. */
+/** The summed rate of all senders of a fleet to a destination, while probing and during the slow start. */
 class SlowStartTest {
     private static final DeliveryPolicy.ColdStart COLD = new DeliveryPolicy.ColdStart(0.2, 12_000, 2, 1500);
 
-    /** The fleet's rate is within the budget however many share it, but for one trial in 750 ms. */
+    /** The fleet stays within the budget for any number of senders, apart from one probe every 750 ms. */
     @ParameterizedTest
     @CsvSource({"1, 0.06", "48, 0.006", "100, 0.06", "800, 0.02", "800, 0.2"})
     void allSendersTogetherStayWithinTheBudget(int senders, double capacity) {
@@ -23,15 +23,18 @@
         }
     }
 
-    /** A thin sender's next call was due by the rate of the moment: long after the ramp. */
+    /**
+     * Guards against computing a low-traffic sender's next call from the current rate, which made it due long after the slow
+     * start was over.
+     */
     @ParameterizedTest
     @CsvSource({"0.0001, 0", "0.001, 3000", "0.05, 11000"})
-    void theNextCallOfARampFallsDueByItsRisingRate(double usual, double at) {
+    void theNextCallOfASlowStartIsDueByTheRisingRate(double usual, double at) {
         SlowStart slowStart = new SlowStart(COLD, 48);
         double interval = slowStart.slowStartIntervalMs(at, usual, 1);
         double calls = 0;
         for (double ms = 0; ms < interval; ms++) {
-            // Beyond the ramp its slope goes on: the caller ends it there.
+            // After the slow start the rate would keep rising here. The caller ends the slow start at that point.
             double rate = slowStart.slowStartRate(0, usual, 1) * (1 + 4 * (at + ms) / 12_000);
             calls += rate * Math.min(1, interval - ms);
         }
