--- a/src/main/java/slipfield/config/Config.java
+++ b/src/main/java/slipfield/config/Config.java
@@ -14,7 +14,7 @@
 import java.util.Optional;
 import slipfield.log.Log;
 import slipfield.retry.Retry;
-import slipfield.policy.Relay;
+import slipfield.policy.DeliveryPolicy;
 
 /**
  * What a sender is told, by its environment and its JSON configuration. The environment comes first, but for
@@ -22,7 +22,7 @@
  * address, also after a restart. Settings keep their dotted names, so that the adapter and the sender read them in one way.
  */
 public record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, Path state, long seed,
-              int sockets, long diskBytes, Relay.Settings settings, List<String> classes,
+              int sockets, long diskBytes, DeliveryPolicy.Settings settings, List<String> classes,
               List<String> tenants, List<String> kinds, List<String> zones, int maxOpen, double dialMs,
               Optional<JsonNode> known, Optional<Path> members, Optional<Path> clients,
               Optional<Path> amqp) {
--- a/src/main/java/slipfield/config/Params.java
+++ b/src/main/java/slipfield/config/Params.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.OptionalInt;
-import slipfield.policy.Relay;
+import slipfield.policy.DeliveryPolicy;
 
 /**
  * The settings of one sender by their dotted names, and what the module is told of them. Shared by the
@@ -20,35 +20,35 @@
     private static final int MOST_SENDERS = 10_000;
 
     /** The module's settings. */
-    public Relay.Settings settings() throws BadInput {
-        List<Relay.MessageClass> classes = new ArrayList<>();
+    public DeliveryPolicy.Settings settings() throws BadInput {
+        List<DeliveryPolicy.MessageClass> classes = new ArrayList<>();
         for (int i = 0; i < number("classes.count"); i++) {
             String c = "classes." + i + ".";
-            Relay.Effect effect = switch (text(c + "repeat")) {
-                case "safe" -> Relay.Effect.SAFE;
-                case "keyed" -> Relay.Effect.KEYED;
-                case "unsafe" -> Relay.Effect.UNSAFE;
+            DeliveryPolicy.RepeatSafety effect = switch (text(c + "repeat")) {
+                case "safe" -> DeliveryPolicy.RepeatSafety.SAFE;
+                case "keyed" -> DeliveryPolicy.RepeatSafety.KEYED;
+                case "unsafe" -> DeliveryPolicy.RepeatSafety.UNSAFE;
                 default -> throw new BadInput("unknown value of " + c + "repeat");
             };
-            classes.add(new Relay.MessageClass(number(c + "aim_ms"), number(c + "give_up_ms"),
+            classes.add(new DeliveryPolicy.MessageClass(number(c + "aim_ms"), number(c + "give_up_ms"),
                     numberOr(c + "worth", 1), numberOr(c + "late_worth", 0), effect,
                     !textOr(c + "dedup_scope", "all").equals("all"), numberOr(c + "window_ms", 0),
                     flag(c + "sequential")));
         }
-        List<Relay.Kind> kinds = new ArrayList<>();
+        List<DeliveryPolicy.Kind> kinds = new ArrayList<>();
         List<String> routes = list("family_info.separate_routes");
         List<String> batches = list("family_info.batch_by_kind");
         for (int i = 0; i < Math.max(routes.size(), batches.size()); i++) {
-            kinds.add(new Relay.Kind(i < routes.size() && routes.get(i).equals("true"),
+            kinds.add(new DeliveryPolicy.Kind(i < routes.size() && routes.get(i).equals("true"),
                     i < batches.size() ? (int) parse(batches.get(i)) : 1));
         }
         List<Double> fees = new ArrayList<>();
         for (String fee : list("family_info.carriage")) {
             fees.add(parse(fee));
         }
-        Relay.Decay decay = textOr("family_info.decay", "line").equals("halves")
-                ? Relay.Decay.HALVES : Relay.Decay.LINE;
-        Relay.ColdStart cold = new Relay.ColdStart(number("rules.start_capacity"),
+        DeliveryPolicy.Decay decay = textOr("family_info.decay", "line").equals("halves")
+                ? DeliveryPolicy.Decay.HALVING : DeliveryPolicy.Decay.LINEAR;
+        DeliveryPolicy.ColdStart cold = new DeliveryPolicy.ColdStart(number("rules.start_capacity"),
                 number("rules.warm_after_ms"), number("rules.fall_multiple"), number("rules.fall_ms"));
         boolean ratesListed = !textOr("weight_kind", "none").equals("none");
         atLeastOne("family_info.workers", "calls that may be out at once");
@@ -60,7 +60,7 @@
             throw new BadInput("settings family_info.separate_routes and family_info.batch_by_kind name no kind: "
                     + "give one value for each of flavors");
         }
-        return new Relay.Settings(classes, kinds, ratesListed, decay, fees,
+        return new DeliveryPolicy.Settings(classes, kinds, ratesListed, decay, fees,
                 fleetSize().orElse(1), (int) number("family_info.workers"),
                 (int) number("limits.most_tries"), flag("limits.second_copies"), flag("limits.cancel"),
                 numberOr("rules.order_pause_ms", 0), numberOr("limits.keepalive_ms", 0), cold);
--- a/src/main/java/slipfield/core/Sender.java
+++ b/src/main/java/slipfield/core/Sender.java
@@ -26,7 +26,7 @@
 import slipfield.journal.Owed;
 import slipfield.log.Log;
 import slipfield.log.LoggedTask;
-import slipfield.policy.Relay;
+import slipfield.policy.DeliveryPolicy;
 import slipfield.retry.Retry;
 import slipfield.trace.Flow;
 import slipfield.trace.Trace;
@@ -35,7 +35,7 @@
  * One real sender: the event loop, the clock, and the names that the module knows by numbers. The loop's
  * thread alone touches the module and all that hangs on it, so nothing here is locked. It decides nothing.
  */
-public final class Sender implements Relay.Actions {
+public final class Sender implements DeliveryPolicy.Actions {
     /**
      * A request may stand unread where the CPU is scarce, for the 400 ms that its client waits, and its budget
      * runs from when it was sent; a notice takes a turn or two of a loop that is as late. So a message is ended
@@ -92,7 +92,7 @@
     private final List<Decided> decided = new ArrayList<>();
     /** Of a turn that took long, calls that are looked at again in a moment, by message and attempt. */
     private final Map<Long, Decided> stale = new LinkedHashMap<>();
-    private final Relay relay;
+    private final DeliveryPolicy policy;
     private final Admission admission;
     private final Trace trace = TRACED ? new Trace(System.err) : null;
     private Recovery recovery;
@@ -115,7 +115,7 @@
     }
 
     /** A call; {@code atMs}: the turn that it was decided in, by the module's time. */
-    private record Decided(Held held, int attempt, long endpoint, Relay.Within within, double atMs) {
+    private record Decided(Held held, int attempt, long endpoint, DeliveryPolicy.AttemptTiming within, double atMs) {
     }
 
     /**
@@ -131,7 +131,7 @@
         this.admission = new Admission(config.maxOpen());
         this.takingMs = takingMs;
         this.closingMs = closingMs;
-        this.relay = Relay.create(config.settings(), config.seed(), this);
+        this.policy = DeliveryPolicy.create(config.settings(), config.seed(), this);
     }
 
     /**
@@ -183,13 +183,13 @@
         for (Map.Entry<String, Journal.Health> known : journal.health().entrySet()) {
             Journal.Health health = known.getValue();
             double since = now - Math.max(0, wall - health.sinceMs());
-            relay.recalled(now, endpointNumber(known.getKey()),
-                    new Relay.Health(health.state(), since, health.carriedPerMs()));
+            policy.healthRestored(now, endpointNumber(known.getKey()),
+                    new DeliveryPolicy.Health(health.state(), since, health.carriedPerMs()));
         }
-        for (Map.Entry<Journal.PaceOf, Relay.Pace> known : journal.paces().entrySet()) {
+        for (Map.Entry<Journal.PaceOf, DeliveryPolicy.SendRate> known : journal.paces().entrySet()) {
             String route = known.getKey().route();
-            relay.recalled(now, known.getKey().destination(),
-                    route.isEmpty() ? Relay.SHARED : endpointNumber(route), known.getValue());
+            policy.sendRateRestored(now, known.getKey().destination(),
+                    route.isEmpty() ? DeliveryPolicy.ALL_ROUTES : endpointNumber(route), known.getValue());
         }
         List<Held> held = journal.held();
         for (Held h : held) {
@@ -225,13 +225,13 @@
                 return;
             }
             long wall = life.wallMs();
-            List<Relay.EarlierAttempt> earlier = new ArrayList<>();
+            List<DeliveryPolicy.PreviousAttempt> earlier = new ArrayList<>();
             for (Held.Attempt a : held.attempts) {
                 // A wall clock that was set back must not move a send into the future.
                 double sentAt = now - Math.max(0, wall - a.sentAtMs);
-                earlier.add(new Relay.EarlierAttempt(endpointNumber(a.endpoint), sentAt, !a.neverRan));
+                earlier.add(new DeliveryPolicy.PreviousAttempt(endpointNumber(a.endpoint), sentAt, !a.neverRan));
             }
-            event(() -> relay.resumed(now, message(held, messageClass, leftMs), earlier));
+            event(() -> policy.messageRestored(now, message(held, messageClass, leftMs), earlier));
         }
 
         @Override
@@ -248,9 +248,9 @@
         }
     }
 
-    private Relay.Message message(Held held, int messageClass, double leftMs) {
+    private DeliveryPolicy.Message message(Held held, int messageClass, double leftMs) {
         double left = Math.min(leftMs, config.settings().classes().get(messageClass).deadlineMs());
-        return new Relay.Message(held.number, messageClass, Math.max(0, config.tenants().indexOf(held.tenant)),
+        return new DeliveryPolicy.Message(held.number, messageClass, Math.max(0, config.tenants().indexOf(held.tenant)),
                 held.key, left, held.destination);
     }
 
@@ -271,7 +271,7 @@
     private void endTurn() {
         long begun = TRACED ? traced(Trace.Part.MODULE) : 0;
         try {
-            relay.endTurn(clock);
+            policy.endIteration(clock);
         } catch (RuntimeException e) {
             fault(e);
         } finally {
@@ -313,7 +313,7 @@
     private final class Effects implements Durability.Effects {
         @Override
         public void recording(boolean possible) {
-            event(() -> relay.recording(openTurn(), possible));
+            event(() -> policy.recordingChanged(openTurn(), possible));
         }
 
         @Override
@@ -331,7 +331,7 @@
     private boolean mayGoOn(Held held) {
         int messageClass = config.classes().indexOf(held.messageClass);
         boolean unsafe = messageClass < 0
-                || config.settings().classes().get(messageClass).effect() == Relay.Effect.UNSAFE;
+                || config.settings().classes().get(messageClass).repeatSafety() == DeliveryPolicy.RepeatSafety.UNSAFE;
         return !unsafe || held.attempts.stream().allMatch(a -> a.neverRan);
     }
 
@@ -357,7 +357,8 @@
     /** Not one byte of the attempt has left: it has surely not run. */
     private void notBegun(Held held, int attempt) {
         held.attempts.get(attempt).neverRan = true;
-        loop.execute(() -> attemptEnded(held, attempt, Relay.Outcome.NOT_SENT, false, 0, Relay.Told.NOTHING, 0));
+        loop.execute(() -> attemptEnded(held, attempt, DeliveryPolicy.AttemptOutcome.NOT_SENT, false, 0,
+                DeliveryPolicy.LimitReport.NOTHING, 0));
     }
 
     private void makeCalls() {
@@ -375,7 +376,7 @@
         List<Decided> again = List.copyOf(stale.values());
         stale.clear();
         for (Decided d : again) {
-            if (relay.mayBegin(now(), d.held.number, d.attempt)) {
+            if (policy.mayBegin(now(), d.held.number, d.attempt)) {
                 call(d);
             } else {
                 notBegun(d.held, d.attempt);
@@ -411,7 +412,7 @@
     // ---- what the module asks ----
 
     @Override
-    public void send(long message, long endpoint, Relay.Within within) {
+    public void send(long message, long endpoint, DeliveryPolicy.AttemptTiming within) {
         Held held = open.get(message);
         int number = held.attempts.size();
         Held.Attempt attempt = new Held.Attempt(endpointIds.get(endpoint), life.wallMs());
@@ -466,7 +467,7 @@
             if (TRACED) {
                 trace.late(now - time);
             }
-            event(() -> relay.wake(now));
+            event(() -> policy.wake(now));
         }, Math.max(0, nanos), TimeUnit.NANOSECONDS);
     }
 
@@ -476,27 +477,27 @@
     }
 
     @Override
-    public void endpointChanged(Relay.EndpointChange change) {
+    public void endpointChanged(DeliveryPolicy.EndpointChange change) {
         OutageLog.endpointChanged(change, endpointIds.get(change.endpoint()), clock);
     }
 
     @Override
-    public void suspicionChanged(Relay.Suspicion suspicion) {
+    public void suspicionChanged(DeliveryPolicy.Suspicion suspicion) {
         Held held = open.get(suspicion.message());
         OutageLog.suspicionChanged(suspicion, endpointIds.getOrDefault(suspicion.endpoint(), ""), held == null ? "" : held.id, clock);
     }
 
     @Override
-    public void remember(long endpoint, Relay.Health health) {
+    public void saveHealth(long endpoint, DeliveryPolicy.Health health) {
         long ago = (long) (clock - health.since());
         remember(endpointIds.get(endpoint), new Journal.Health(health.state(), life.wallMs() - ago,
                 health.carriedPerMs()));
     }
 
     @Override
-    public void remember(long destination, long route, Relay.Pace pace) {
+    public void saveSendRate(long destination, long route, DeliveryPolicy.SendRate pace) {
         try {
-            journal.pace(new Journal.PaceOf(destination, route == Relay.SHARED ? "" : endpointIds.get(route)),
+            journal.pace(new Journal.PaceOf(destination, route == DeliveryPolicy.ALL_ROUTES ? "" : endpointIds.get(route)),
                     pace);
         } catch (IOException e) {
             unwritten("journal.pace_unwritten", "", e);
@@ -570,26 +571,27 @@
     private final class Attempts implements Transport.Ends {
         @Override
         public boolean mayBegin(Transport.Attempt call) {
-            return relay.mayBegin(now(), call.held().number, call.number());
+            return policy.mayBegin(now(), call.held().number, call.number());
         }
 
         @Override
-        public void ended(Transport.Attempt call, Relay.Outcome outcome, boolean gone, double waitMs, Relay.Told told) {
+        public void ended(Transport.Attempt call, DeliveryPolicy.AttemptOutcome outcome, boolean gone, double waitMs,
+                DeliveryPolicy.LimitReport told) {
             calls.remove(out(call.held().number, call.number()));
             double took = (System.nanoTime() - call.startedNanos()) / 1e6;
             attemptEnded(call.held(), call.number(), outcome, gone, waitMs, told, took);
         }
     }
 
-    private void attemptEnded(Held held, int attempt, Relay.Outcome outcome, boolean gone, double waitMs,
-            Relay.Told told, double took) {
+    private void attemptEnded(Held held, int attempt, DeliveryPolicy.AttemptOutcome outcome, boolean gone, double waitMs,
+            DeliveryPolicy.LimitReport told, double took) {
         double now = openTurn();
         if (FLOWS) {
             Flow.step("end", held.id, attempt, held.destination, held.attempts.get(attempt).endpoint, outcome,
-                    (long) took, told.perSecond(), told.left());
+                    (long) took, told.perSecond(), told.remainingShare());
         }
         try {
-            if (!held.over && (gone || outcome == Relay.Outcome.DELIVERED)) {
+            if (!held.over && (gone || outcome == DeliveryPolicy.AttemptOutcome.DELIVERED)) {
                 delivered(held);
             } else if (!held.over && !outcome.mayHaveRun()) {
                 journal.neverRan(held, attempt);
@@ -599,7 +601,7 @@
         }
         boolean finished = held.over;
         OutageLog.attemptEnded(held, attempt, outcome, took);
-        event(() -> relay.attemptEnded(now, new Relay.AttemptEnd(held.number, attempt, outcome, took,
+        event(() -> policy.attemptEnded(now, new DeliveryPolicy.AttemptEnd(held.number, attempt, outcome, took,
                 finished, waitMs, told)));
     }
 
@@ -643,7 +645,7 @@
 
     private void listed(String directory, boolean fresh, boolean whole, List<Directory.Entry> told) {
         Catalogue.Change change = catalogue.listed(directory, whole, told);
-        List<Relay.Endpoint> list = new ArrayList<>();
+        List<DeliveryPolicy.Endpoint> list = new ArrayList<>();
         for (Directory.Entry e : change.entries()) {
             long number = endpointNumber(e.id());
             if (FLOWS) {
@@ -651,11 +653,11 @@
             }
             destinations.add(e.destination());
             transport.at(number, e.address(), e.serving());
-            list.add(new Relay.Endpoint(number, e.destination(), Math.max(0, config.kinds().indexOf(e.kind())),
+            list.add(new DeliveryPolicy.Endpoint(number, e.destination(), Math.max(0, config.kinds().indexOf(e.kind())),
                     Math.max(0, config.zones().indexOf(e.zone())), e.serving(), e.weight(), e.gone()));
         }
         forgetGone(change.whole(), change.entries());
-        event(() -> relay.endpoints(openTurn(), change.whole(), list));
+        event(() -> policy.endpointsChanged(openTurn(), change.whole(), list));
         recovery.listKnown(fresh);
     }
 
@@ -685,7 +687,7 @@
                 long number = endpointNumbers.remove(gone.getKey());
                 endpointIds.remove(number);
                 transport.forget(number);
-                remember(gone.getKey(), new Journal.Health(Relay.State.UP, 0, 0));
+                remember(gone.getKey(), new Journal.Health(DeliveryPolicy.State.UP, 0, 0));
             }
             return old;
         });
@@ -720,8 +722,8 @@
 
         @Override
         public boolean needsKey(String messageClass) {
-            return config.settings().classes().get(config.classes().indexOf(messageClass)).effect()
-                    == Relay.Effect.KEYED;
+            return config.settings().classes().get(config.classes().indexOf(messageClass)).repeatSafety()
+                    == DeliveryPolicy.RepeatSafety.KEYED;
         }
 
         @Override
@@ -829,7 +831,7 @@
             }
             int messageClass = config.classes().indexOf(held.messageClass);
             double left = held.deadlineMs - life.wallMs();
-            event(() -> relay.message(openTurn(), message(held, messageClass, left)));
+            event(() -> policy.messageAccepted(openTurn(), message(held, messageClass, left)));
         }
     }
 
@@ -843,7 +845,7 @@
         long begun = System.nanoTime();
         loop.execute(() -> {
             closing = true;
-            event(() -> relay.closing(openTurn(), clock + closingMs));
+            event(() -> policy.shutdownScheduled(openTurn(), clock + closingMs));
             loop.schedule(() -> {
                 fronts.forEach(Front::close);
                 awaitIdle(begun);
--- a/src/main/java/slipfield/core/Transport.java
+++ b/src/main/java/slipfield/core/Transport.java
@@ -2,7 +2,7 @@
 
 import java.net.SocketAddress;
 import slipfield.journal.Held;
-import slipfield.policy.Relay;
+import slipfield.policy.DeliveryPolicy;
 
 /**
  * A way to endpoints, as the core sees it: makes one attempt at a time for a message and reports its one end.
@@ -28,7 +28,8 @@
     interface Ends {
         /**
          * Whether an attempt that was decided a while ago may still begin, its connection having come up only now. False: not
-         * one byte of it is written, and it ends as {@link Relay.Outcome#NOT_SENT}. Without anybody to decide it may.
+         * one byte of it is written, and it ends as {@link DeliveryPolicy.AttemptOutcome#NOT_SENT}. Without anybody to decide
+         * it may.
          */
         default boolean mayBegin(Attempt attempt) {
             return true;
@@ -41,7 +42,8 @@
          * @param waitMs the wait that the endpoint told, in milliseconds, or 0
          * @param told what the destination says of its limit
          */
-        void ended(Attempt attempt, Relay.Outcome outcome, boolean gone, double waitMs, Relay.Told told);
+        void ended(Attempt attempt, DeliveryPolicy.AttemptOutcome outcome, boolean gone, double waitMs,
+                DeliveryPolicy.LimitReport told);
     }
 
     /** Begins to look after what it keeps open. */
@@ -62,9 +64,9 @@
      *
      * @param number which of the message's attempts it is, from 0
      * @param within its times, counted from {@code decidedNanos}; one that can't be written in time ends as
-     *     {@link Relay.Outcome#NOT_SENT}
+     *     {@link DeliveryPolicy.AttemptOutcome#NOT_SENT}
      */
-    Attempt attempt(Held held, int number, long endpoint, Relay.Within within, long decidedNanos);
+    Attempt attempt(Held held, int number, long endpoint, DeliveryPolicy.AttemptTiming within, long decidedNanos);
 
     /** Closes idle connections to an endpoint; the next attempt there opens a new one. */
     void closeIdle(long endpoint);
--- a/src/main/java/slipfield/daemon/Rehearsal.java
+++ b/src/main/java/slipfield/daemon/Rehearsal.java
@@ -10,7 +10,7 @@
 import slipfield.front.http.Intake;
 import slipfield.journal.Claim;
 import slipfield.journal.Held;
-import slipfield.policy.Relay;
+import slipfield.policy.DeliveryPolicy;
 import slipfield.transport.http.Endpoints;
 
 /**
@@ -31,12 +31,12 @@
     private final long mostNanos;
     private final Runnable then;
     private final long begun = System.nanoTime();
-    private final Relay.Settings settings;
+    private final DeliveryPolicy.Settings settings;
     private final Intake intake;
     private final Endpoints endpoints;
     private final Held held;
     private final Stage stage = new Stage();
-    private final Relay relay;
+    private final DeliveryPolicy policy;
     private final byte[] request;
     private int played;
 
@@ -50,14 +50,14 @@
         this.endpoints = new Endpoints(loop, 1000, 1000, 0, (call, outcome, gone, waitMs, told) -> { });
         this.held = new Held(0, "0123456789abcdef", "rehearsal", "", Optional.of("0123456789abcdef"), 1, 0,
                 new byte[2]);
-        this.relay = Relay.create(settings, 0, stage);
+        this.policy = DeliveryPolicy.create(settings, 0, stage);
         String path = config.classes().get(0);
         this.request = ("POST /" + path + " HTTP/1.1\r\nHost: rehearsal\r\nX-Call-Id: 0123456789abcdef\r\n"
                 + "X-Call-Class: " + path + "\r\nX-Caller: x\r\nX-Budget-Ms: 1000\r\n"
                 + "Idempotency-Key: 0123456789abcdef0123456789abcdef\r\nX-Envelope: dest=1\r\n"
                 + "Content-Length: 2\r\n\r\n{}").getBytes(StandardCharsets.US_ASCII);
-        relay.endpoints(0, true, List.of(new Relay.Endpoint(1, 1, 0, 0, true, 0, false),
-                new Relay.Endpoint(2, 1, 0, 0, true, 0, false)));
+        policy.endpointsChanged(0, true, List.of(new DeliveryPolicy.Endpoint(1, 1, 0, 0, true, 0, false),
+                new DeliveryPolicy.Endpoint(2, 1, 0, 0, true, 0, false)));
     }
 
     /** Plays the next slice, and the others after it. */
@@ -77,18 +77,20 @@
 
     private void decide() {
         double now = played * 100.0;
-        relay.message(now, new Relay.Message(played, 0, 0, Optional.empty(), settings.classes().get(0).deadlineMs(),
+        policy.messageAccepted(now, new DeliveryPolicy.Message(played, 0, 0, Optional.empty(),
+                settings.classes().get(0).deadlineMs(),
                 1));
-        relay.endTurn(now);
+        policy.endIteration(now);
         if (stage.sent == played) {
-            relay.attemptEnded(now + 50, new Relay.AttemptEnd(played, 0, Relay.Outcome.DELIVERED, 50, true, 0,
-                    Relay.Told.NOTHING));
-            relay.endTurn(now + 50);
+            policy.attemptEnded(now + 50, new DeliveryPolicy.AttemptEnd(played, 0, DeliveryPolicy.AttemptOutcome.DELIVERED, 50,
+                    true, 0,
+                    DeliveryPolicy.LimitReport.NOTHING));
+            policy.endIteration(now + 50);
         }
     }
 
     /** A desk that takes nothing on, and a module's world in which every send arrives. */
-    private static final class Stage implements Desk, Relay.Actions {
+    private static final class Stage implements Desk, DeliveryPolicy.Actions {
         private long sent;
 
         @Override
@@ -140,7 +142,7 @@
         }
 
         @Override
-        public void send(long message, long endpoint, Relay.Within within) {
+        public void send(long message, long endpoint, DeliveryPolicy.AttemptTiming within) {
             sent = message;
         }
 
--- a/src/main/java/slipfield/daemon/Ways.java
+++ b/src/main/java/slipfield/daemon/Ways.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import slipfield.core.Transport;
 import slipfield.journal.Held;
-import slipfield.policy.Relay;
+import slipfield.policy.DeliveryPolicy;
 import slipfield.transport.amqp.ConsumerAddress;
 
 /** Two transports as one: an endpoint's address says which is its. */
@@ -49,7 +49,7 @@
     }
 
     @Override
-    public Attempt attempt(Held held, int number, long endpoint, Relay.Within within, long decidedNanos) {
+    public Attempt attempt(Held held, int number, long endpoint, DeliveryPolicy.AttemptTiming within, long decidedNanos) {
         return of(endpoint).attempt(held, number, endpoint, within, decidedNanos);
     }
 
--- a/src/main/java/slipfield/journal/Form.java
+++ b/src/main/java/slipfield/journal/Form.java
@@ -8,7 +8,7 @@
 import java.nio.ByteBuffer;
 import java.util.List;
 import java.util.zip.CRC32;
-import slipfield.policy.Relay;
+import slipfield.policy.DeliveryPolicy;
 
 /** The records of a journal as bytes: length, checksum, type, and what each type holds. */
 final class Form {
@@ -169,7 +169,7 @@
         });
     }
 
-    static byte[] pace(Journal.PaceOf of, Relay.Pace pace) {
+    static byte[] pace(Journal.PaceOf of, DeliveryPolicy.SendRate pace) {
         return record(out -> {
             out.writeByte(PACE);
             out.writeLong(of.destination());
@@ -177,7 +177,7 @@
             out.writeDouble(pace.perMs());
             // Earlier forms held a figure here that nothing reads any more.
             out.writeDouble(0);
-            out.writeDouble(pace.toldPerMs());
+            out.writeDouble(pace.reportedPerMs());
         });
     }
 
--- a/src/main/java/slipfield/journal/Journal.java
+++ b/src/main/java/slipfield/journal/Journal.java
@@ -17,7 +17,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import slipfield.log.Log;
-import slipfield.policy.Relay;
+import slipfield.policy.DeliveryPolicy;
 import slipfield.trace.Trace;
 
 /**
@@ -219,19 +219,19 @@
     }
 
     /** A pace has changed; one that is unbounded takes up no room. */
-    public void pace(PaceOf of, Relay.Pace now) throws IOException {
+    public void pace(PaceOf of, DeliveryPolicy.SendRate now) throws IOException {
         byte[] record = Form.pace(of, now);
         kept.pace(of, now, record.length);
         writeKnown(record);
     }
 
     /** The paces that were known when the last process ended. */
-    public Map<PaceOf, Relay.Pace> paces() {
+    public Map<PaceOf, DeliveryPolicy.SendRate> paces() {
         return new LinkedHashMap<>(kept.paces);
     }
 
     /** An endpoint's state, since when on the wall clock, and the rate that it carried before. */
-    public record Health(Relay.State state, long sinceMs, double carriedPerMs) {
+    public record Health(DeliveryPolicy.State state, long sinceMs, double carriedPerMs) {
     }
 
     /** What is known of an endpoint has changed; one that is in service, or forgotten, takes up no room. */
--- a/src/main/java/slipfield/journal/Kept.java
+++ b/src/main/java/slipfield/journal/Kept.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.TreeMap;
-import slipfield.policy.Relay;
+import slipfield.policy.DeliveryPolicy;
 
 /**
  * What a journal's records say is so, and how many bytes it takes to say that again: messages that are held, ids that are
@@ -21,7 +21,7 @@
     final Map<Long, Held> live = new TreeMap<>();
     /** What the module last knew of endpoints that are not in service. */
     final Map<String, Journal.Health> health = new TreeMap<>();
-    final Map<Journal.PaceOf, Relay.Pace> paces = new LinkedHashMap<>();
+    final Map<Journal.PaceOf, DeliveryPolicy.SendRate> paces = new LinkedHashMap<>();
     /** Ids of messages that are over, the newest last, and whether they were delivered. */
     final Map<String, Boolean> over = new LinkedHashMap<>();
     private final long mostOverBytes;
@@ -90,7 +90,7 @@
     }
 
     /** One that is unbounded takes up no room. */
-    void pace(Journal.PaceOf of, Relay.Pace now, int length) {
+    void pace(Journal.PaceOf of, DeliveryPolicy.SendRate now, int length) {
         boolean before = paces.remove(of) != null;
         boolean stays = now.perMs() < Double.POSITIVE_INFINITY;
         if (stays) {
@@ -102,7 +102,7 @@
     /** One that is in service, or forgotten, takes up no room. */
     void health(String endpoint, Journal.Health now, int length) {
         boolean before = health.remove(endpoint) != null;
-        boolean stays = now.state() != Relay.State.UP;
+        boolean stays = now.state() != DeliveryPolicy.State.UP;
         if (stays) {
             health.put(endpoint, now);
         }
--- a/src/main/java/slipfield/journal/Replay.java
+++ b/src/main/java/slipfield/journal/Replay.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import java.util.Optional;
 import slipfield.log.Log;
-import slipfield.policy.Relay;
+import slipfield.policy.DeliveryPolicy;
 
 /**
  * Reads the bytes of a journal into what they say. A record in which one bit is wrong is mended by its checksum; behind one
@@ -83,7 +83,8 @@
         switch (type) {
             case Form.HEALTH -> {
                 String endpoint = in.readUTF();
-                kept.health(endpoint, new Journal.Health(Relay.State.values()[in.readByte()], moved(number), in.readDouble()),
+                kept.health(endpoint, new Journal.Health(DeliveryPolicy.State.values()[in.readByte()], moved(number),
+                        in.readDouble()),
                         length);
                 return;
             }
@@ -91,7 +92,7 @@
                 Journal.PaceOf of = new Journal.PaceOf(number, in.readUTF());
                 double perMs = in.readDouble();
                 in.readDouble();
-                kept.pace(of, new Relay.Pace(perMs, in.readDouble()), length);
+                kept.pace(of, new DeliveryPolicy.SendRate(perMs, in.readDouble()), length);
                 return;
             }
             case Form.OVER -> {
--- a/src/main/java/slipfield/policy/Relay.java
+++ b/src/main/java/slipfield/policy/DeliveryPolicy.java
@@ -9,7 +9,7 @@
  *
  * <p>Contract. One instance serves one sender and is called from one thread at a time. It has no clock: each
  * event carries the caller's time in milliseconds, which never goes back. Events between two calls of {@link
- * #endTurn} form a turn and share one time; new sends are decided in {@code endTurn} only, so that those of
+ * #endIteration} form a turn and share one time; new sends are decided in {@code endIteration} only, so that those of
  * one turn to one endpoint can share a call. {@link Actions} may be called during any event, in the order in
  * which they are meant; an action must not call back into the instance. Equal settings, seed and events give
  * equal actions.
@@ -18,59 +18,59 @@
  * IllegalArgumentException} or {@link IllegalStateException}; what may arrive late by nature (a withdrawal of
  * an ended message, a wake that is no longer needed, a second end of one attempt) is ignored.
  */
-public interface Relay {
+public interface DeliveryPolicy {
     /** In place of a route: its destination's endpoints share one limit. */
-    long SHARED = -1;
+    long ALL_ROUTES = -1;
 
     /** A new instance, with no state; equal settings, seeds and events give equal actions. */
-    static Relay create(Settings settings, long seed, Actions actions) {
-        return new Logic(settings, seed, actions);
+    static DeliveryPolicy create(Settings settings, long seed, Actions actions) {
+        return new WaveDeliveryPolicy(settings, seed, actions);
     }
 
     /**
      * The list of endpoints changed: the whole list, or only the entries that differ from the list before.
      */
-    void endpoints(double now, boolean whole, List<Endpoint> entries);
+    void endpointsChanged(double now, boolean whole, List<Endpoint> entries);
 
     /**
      * The sender has taken a message; exactly one of delivered, refused or failed ends it before its time is
      * up.
      */
-    void message(double now, Message message);
+    void messageAccepted(double now, Message message);
 
     /**
      * A message that an earlier life of this sender took comes back from its journal, with the attempts made
      * then, in their order; further ones are numbered on from these. One that was out when that life ended
      * may have run; none of them holds a slot or gets an end any more. Messages come in the order taken.
      */
-    void resumed(double now, Message message, List<EarlierAttempt> attempts);
+    void messageRestored(double now, Message message, List<PreviousAttempt> attempts);
 
     /**
-     * The health of an endpoint as it was last told by {@link Actions#remember} in an earlier life, with its
+     * The health of an endpoint as it was last told by {@link Actions#saveHealth} in an earlier life, with its
      * time on this life's clock; told before the messages of that life, be the endpoint listed yet or not.
      */
-    void recalled(double now, long endpoint, Health health);
+    void healthRestored(double now, long endpoint, Health health);
 
     /**
-     * The pace of a destination, or of one of its endpoints where these are separate routes ({@link #SHARED}
-     * where not), as it was last told by {@link Actions#remember} in an earlier life.
+     * The pace of a destination, or of one of its endpoints where these are separate routes ({@link #ALL_ROUTES}
+     * where not), as it was last told by {@link Actions#saveSendRate} in an earlier life.
      */
-    void recalled(double now, long destination, long route, Pace pace);
+    void sendRateRestored(double now, long destination, long route, SendRate pace);
 
     /**
      * The sender will stop at this time: no call starts any more that can't be expected to end before it.
      */
-    void closing(double now, double end);
+    void shutdownScheduled(double now, double end);
 
     /**
      * Whether attempts can be recorded from now on. While they can't, none is decided: one that a later life does not know of
      * could run twice. Messages wait, and end in their time.
      */
-    void recording(double now, boolean possible);
+    void recordingChanged(double now, boolean possible);
 
     /**
      * Whether an attempt that is out, and not one byte of it yet, may still begin: its connection took its time, and its
-     * destination may have told a wait meanwhile, or its message be over. False: it ends as {@link Outcome#NOT_SENT}.
+     * destination may have told a wait meanwhile, or its message be over. False: it ends as {@link AttemptOutcome#NOT_SENT}.
      * Changes nothing, and takes no turn.
      */
     boolean mayBegin(double now, long message, int attempt);
@@ -82,13 +82,13 @@
     void attemptEnded(double now, AttemptEnd end);
 
     /** Nobody waits for this message any more; no answer is owed. */
-    void withdrawn(double now, long message);
+    void messageWithdrawn(double now, long message);
 
     /** A wake asked for by {@link Actions#wakeAt} has come; early and stale ones do no harm. */
     void wake(double now);
 
     /** All events of this turn have been told: queued sends are decided now. */
-    void endTurn(double now);
+    void endIteration(double now);
 
     /** What the module asks of the sender. */
     interface Actions {
@@ -96,7 +96,7 @@
          * Start the next attempt of a message, numbered 0, 1, 2 and so on within it. Sends of one turn to one
          * endpoint may share a call, up to the kind's batch.
          */
-        void send(long message, long endpoint, Within within);
+        void send(long message, long endpoint, AttemptTiming within);
 
         /** Stop waiting for an attempt that is redundant; its end is still reported. */
         void cancel(long message, int attempt);
@@ -112,18 +112,18 @@
         /** Final: given up, with no promise about its effect. */
         void fail(long message);
 
-        /** Call {@link Relay#wake} in a turn at or soon after this time. */
+        /** Call {@link DeliveryPolicy#wake} in a turn at or soon after this time. */
         void wakeAt(double time);
 
         /**
          * An endpoint's health has changed: a later life needs to know, if there can be one. Without a
          * journal there is none.
          */
-        default void remember(long endpoint, Health health) {
+        default void saveHealth(long endpoint, Health health) {
         }
 
         /** The pace of a destination, or of a route, has changed: the same. */
-        default void remember(long destination, long route, Pace pace) {
+        default void saveSendRate(long destination, long route, SendRate pace) {
         }
 
         /** A line for the people on call. */
@@ -140,24 +140,25 @@
     }
 
     /** A change of an endpoint's state, why, and what its destination's calls came to since the last delivery. */
-    record EndpointChange(long endpoint, long destination, State from, State to, String reason, Fruitless fruitless) {
+    record EndpointChange(long endpoint, long destination, State from, State to, String reason,
+            UndeliveredCalls undeliveredCalls) {
     }
 
     /** Calls to a destination that failed and were refused since the last one that was delivered; {@code since}: the first. */
-    record Fruitless(int failed, int refused, double since) {
+    record UndeliveredCalls(int failed, int refused, double since) {
     }
 
     /**
      * Calls to a destination go out one at a time from now on, or no more do. The endpoint and the message are those of the call
      * that made the difference; no message where a call is out for long, neither where an earlier life had one.
      */
-    record Suspicion(long destination, boolean begins, long endpoint, long message, Fruitless fruitless) {
+    record Suspicion(long destination, boolean begins, long endpoint, long message, UndeliveredCalls undeliveredCalls) {
         /** In place of an endpoint or a message. */
         static final long NONE = -1;
     }
 
     /** What another attempt of a message may do. */
-    enum Effect {
+    enum RepeatSafety {
         /** Repeating is harmless. */
         SAFE,
         /** The destination drops repeats of the key for a time, within a group of endpoints. */
@@ -167,7 +168,7 @@
     }
 
     /** How an attempt ended. */
-    enum Outcome {
+    enum AttemptOutcome {
         /** Delivered. */
         DELIVERED(false),
         /** Answered with an error; it may have run. */
@@ -187,7 +188,7 @@
 
         private final boolean mayHaveRun;
 
-        Outcome(boolean mayHaveRun) {
+        AttemptOutcome(boolean mayHaveRun) {
             this.mayHaveRun = mayHaveRun;
         }
 
@@ -202,7 +203,7 @@
      * that is gone, as is any that a whole list does not name, is forgotten before long.
      */
     record Endpoint(long id, long destination, int kind, int zone, boolean serving, double listedRate,
-            boolean gone) {
+            boolean removed) {
         /** A rate that can't be meant counts as none. */
         public Endpoint {
             listedRate = listedRate > 0 && listedRate < Double.POSITIVE_INFINITY ? listedRate : 0;
@@ -223,7 +224,7 @@
     }
 
     /** An attempt made in an earlier life; {@code sentAt} is on this life's clock, mostly before its start. */
-    record EarlierAttempt(long endpoint, double sentAt, boolean mayHaveRun) {
+    record PreviousAttempt(long endpoint, double sentAt, boolean mayHaveRun) {
     }
 
     /** What an endpoint is held to be. */
@@ -244,11 +245,11 @@
      * The end of one attempt. {@code finished} tells that the message needs no further answer; {@code waitMs}
      * is the wait that a full destination told, or 0; {@code told} what its answer told of its limit.
      */
-    record AttemptEnd(long message, int attempt, Outcome outcome, double tookMs, boolean finished,
-            double waitMs, Told told) {
+    record AttemptEnd(long message, int attempt, AttemptOutcome outcome, double tookMs, boolean finished,
+            double requestedDelayMs, LimitReport limitReport) {
         /** An end that tells nothing of a limit. */
-        AttemptEnd(long message, int attempt, Outcome outcome, double tookMs, boolean finished, double waitMs) {
-            this(message, attempt, outcome, tookMs, finished, waitMs, Told.NOTHING);
+        AttemptEnd(long message, int attempt, AttemptOutcome outcome, double tookMs, boolean finished, double waitMs) {
+            this(message, attempt, outcome, tookMs, finished, waitMs, LimitReport.NOTHING);
         }
     }
 
@@ -257,61 +258,61 @@
      * together, and the share of them that is left just now. What is no figure, not above 0, or without end
      * counts as not told: 0 for the rate, -1 for the share, which is 1 at most.
      */
-    record Told(double perSecond, double left) {
+    record LimitReport(double perSecond, double remainingShare) {
         /** Nothing was told. */
-        public static final Told NOTHING = new Told(0, -1);
+        public static final LimitReport NOTHING = new LimitReport(0, -1);
 
         /** Takes what can't be meant for not told. */
-        public Told {
+        public LimitReport {
             perSecond = perSecond > 0 && perSecond < Double.POSITIVE_INFINITY ? perSecond : 0;
-            left = perSecond > 0 && left >= 0 ? Math.min(left, 1) : -1;
+            remainingShare = perSecond > 0 && remainingShare >= 0 ? Math.min(remainingShare, 1) : -1;
         }
 
         /** The share that is left, or what stands for its not being told. */
-        double leftOr(double untold) {
-            return left < 0 ? untold : left;
+        double remainingShareOr(double fallback) {
+            return remainingShare < 0 ? fallback : remainingShare;
         }
     }
 
     /**
      * A pace in calls a millisecond, infinite where there is none, and the rate that its answers told, or 0.
      */
-    record Pace(double perMs, double toldPerMs) {
+    record SendRate(double perMs, double reportedPerMs) {
     }
 
     /**
      * Times of an attempt, in milliseconds from when it was decided: its time-out, and until when its last byte
      * may be written; endless where that does not matter. One that is not under way by then is not made.
      */
-    record Within(double timeoutMs, double writtenMs) {
+    record AttemptTiming(double timeoutMs, double latestWriteMs) {
     }
 
     /** What worth falls to after the aim: evenly to the last, or by half with each further aim. */
     enum Decay {
         /** Evenly, down to the late worth at the deadline. */
-        LINE,
+        LINEAR,
         /** By half with each further aim, the late worth at least. */
-        HALVES
+        HALVING
     }
 
     /**
      * A class of message; times in milliseconds. {@code sameZone}: repeats are dropped within one zone only.
      */
-    record MessageClass(double aimMs, double deadlineMs, double worth, double lateWorth, Effect effect,
-                        boolean sameZone, double windowMs, boolean inOrder) {
+    record MessageClass(double aimMs, double deadlineMs, double worth, double lateWorth, RepeatSafety repeatSafety,
+                        boolean sameZone, double deduplicationWindowMs, boolean inOrder) {
     }
 
     /**
      * A kind of destination: whether its endpoints are separate routes, and how many messages one call
      * carries.
      */
-    record Kind(boolean separateRoutes, int batch) {
+    record Kind(boolean separateRoutes, int batchSize) {
     }
 
     /**
      * How a destination that returns from an outage must be treated; see the rule on returning destinations.
      */
-    record ColdStart(double startCapacity, double warmMs, double overloadMultiple, double overloadMs) {
+    record ColdStart(double startCapacity, double warmUpMs, double overloadMultiple, double overloadMs) {
     }
 
     /**
@@ -320,8 +321,8 @@
      * {@code keepAliveMs}.
      */
     record Settings(List<MessageClass> classes, List<Kind> kinds, boolean ratesListed, Decay decay,
-                    List<Double> zoneFees, int senders, int slots, int maxAttempts, boolean copies,
-                    boolean cancels, double keyRestMs, double keepAliveMs, ColdStart coldStart) {
+                    List<Double> zoneFees, int senders, int slots, int maxAttempts, boolean hedging,
+                    boolean cancelsRedundant, double keyPauseMs, double keepAliveMs, ColdStart coldStart) {
         /** Checks what no deployment can mean. */
         public Settings {
             if (classes.isEmpty() || kinds.isEmpty()) {
--- a/src/main/java/slipfield/policy/EndpointHealth.java
+++ b/src/main/java/slipfield/policy/EndpointHealth.java
@@ -1,6 +1,6 @@
 package slipfield.policy;
 
-import slipfield.policy.Relay.State;
+import slipfield.policy.DeliveryPolicy.State;
 
 /**
  * One endpoint's health, from the ends of its calls: in service, in an outage (only single trials go there), or back from one and
@@ -56,7 +56,7 @@
     }
 
     /** Failed, refused and overdue calls since the last delivery. */
-    int fruitless() {
+    int undeliveredCount() {
         return fruitless;
     }
 
@@ -66,7 +66,7 @@
     }
 
     /** About when it came back from its last outage. */
-    double warmSince() {
+    double recoveredAt() {
         return warmSince;
     }
 
@@ -92,7 +92,7 @@
             answeredAt = now;
             change(State.WARMING, "answers again, warming");
         }
-        warmedUp(now);
+        endSlowStartIfDue(now);
     }
 
     /** A call was turned away; {@code waitMs} is the wait that was told, or 0. */
@@ -101,7 +101,7 @@
             down(now, "is shut");
             failing = true;
         }
-        warmedUp(now);
+        endSlowStartIfDue(now);
     }
 
     void unreachable(double now) {
@@ -128,14 +128,14 @@
     }
 
     /** Its destination is in an outage, as calls to any of its endpoints show; {@code lost}: not only connections failed. */
-    void destinationIsOut(double now, boolean lost) {
+    void destinationOutage(double now, boolean lost) {
         fruitlessAt = now;
         down(now, "may be out with its destination");
         failing |= lost;
     }
 
     /** Its time in the cold may be over though no call has ended meanwhile. */
-    void warmedUp(double now) {
+    void endSlowStartIfDue(double now) {
         if (state == State.WARMING && now >= warmAt()) {
             change(State.UP, "is warm");
         }
@@ -155,7 +155,7 @@
         if (lastsFruitless(now) || bad >= DOWN_AT) {
             down(now, symptom);
         }
-        warmedUp(now);
+        endSlowStartIfDue(now);
     }
 
     private boolean lastsFruitless(double now) {
--- a/src/main/java/slipfield/policy/OutageDetector.java
+++ b/src/main/java/slipfield/policy/OutageDetector.java
@@ -47,8 +47,8 @@
     }
 
     /** What calls came to since the last delivery. */
-    Relay.Fruitless fruitless() {
-        return new Relay.Fruitless(failed, refused, since);
+    DeliveryPolicy.UndeliveredCalls undeliveredCalls() {
+        return new DeliveryPolicy.UndeliveredCalls(failed, refused, since);
     }
 
     /** Whether nothing failed since the last delivery but connections that did not come up. */
--- a/src/main/java/slipfield/policy/SlowStart.java
+++ b/src/main/java/slipfield/policy/SlowStart.java
@@ -19,11 +19,11 @@
     /** A told limit may use up the ramp's reserve over what was carried or asked for, and no more. */
     private static final double LIMIT_OVER_SEEN = 1 / RAMP_SHARE;
 
-    private final Relay.ColdStart cold;
+    private final DeliveryPolicy.ColdStart cold;
     private final int senders;
 
     /** For a fleet of so many senders. */
-    SlowStart(Relay.ColdStart cold, int senders) {
+    SlowStart(DeliveryPolicy.ColdStart cold, int senders) {
         this.cold = cold;
         this.senders = senders;
     }
@@ -39,14 +39,14 @@
     }
 
     /** The rate of single trials at one of so many endpoints of a destination that may be out. */
-    double trialRate(double usual, long endpoints) {
+    double probeRate(double usual, long endpoints) {
         double rate = TRIAL_SHARE * cold.overloadMultiple() * cold.startCapacity() * usual;
         return Math.max(leastRate(endpoints), Math.min(1 / TRIALS_APART_MS, rate));
     }
 
     /** The rate in a ramp, at a time from the return. */
-    double rampRate(double sinceReturnMs, double usual, long endpoints) {
-        double warm = Math.max(0, Math.min(1, sinceReturnMs / cold.warmMs()));
+    double slowStartRate(double sinceReturnMs, double usual, long endpoints) {
+        double warm = Math.max(0, Math.min(1, sinceReturnMs / cold.warmUpMs()));
         double capacity = cold.startCapacity() + (1 - cold.startCapacity()) * warm;
         double rate = RAMP_SHARE * cold.overloadMultiple() * capacity * usual;
         // Only messages of an earlier life are known here: the pace of trials, until more is seen.
@@ -54,18 +54,18 @@
     }
 
     /** After how long, from a time in a ramp, the next call falls due: its rate grows meanwhile. */
-    double rampIntervalMs(double sinceReturnMs, double usual, long endpoints) {
-        double rate = rampRate(sinceReturnMs, usual, endpoints);
-        if (sinceReturnMs >= cold.warmMs() || usual == 0) {
+    double slowStartIntervalMs(double sinceReturnMs, double usual, long endpoints) {
+        double rate = slowStartRate(sinceReturnMs, usual, endpoints);
+        if (sinceReturnMs >= cold.warmUpMs() || usual == 0) {
             return 1 / rate;
         }
-        double slope = RAMP_SHARE * cold.overloadMultiple() * usual * (1 - cold.startCapacity()) / cold.warmMs();
+        double slope = RAMP_SHARE * cold.overloadMultiple() * usual * (1 - cold.startCapacity()) / cold.warmUpMs();
         return slope == 0 ? 1 / rate : (Math.sqrt(rate * rate + 2 * slope) - rate) / slope;
     }
 
     /** How long a destination may stay cold after its return. */
     double warmMs() {
-        return cold.warmMs();
+        return cold.warmUpMs();
     }
 
     private double leastRate(long endpoints) {
--- a/src/main/java/slipfield/policy/Logic.java
+++ b/src/main/java/slipfield/policy/WaveDeliveryPolicy.java
@@ -13,9 +13,10 @@
 import java.util.SplittableRandom;
 
 /**
- * The decision module. Its interface, with all types, events and actions, is Relay.java.
+ * The decision module. Its interface, with all types, events and actions, is DeliveryPolicy.java.
  *
- * <p>A message waits in the queue until {@link #endTurn}, which ranks what waits and gives each message the
+ * <p>A message waits in the queue until {@link #endIteration}, which ranks what waits and gives each
+ * message the
  * best endpoint that {@link #maySend} lets pass; the send starts a wave. At a fixed offset a copy joins if
  * the {@link Throttle} allows. The first delivery wins and the rest are cancelled; when every attempt of
  * the wave has ended retryable the message waits again, for a new wave. {@link #finish} gives every final
@@ -28,7 +29,7 @@
  * Connections} is the trust in idle connections, {@link KeyOrder} the keys in order, {@link Timers} what is
  * due later. All times are milliseconds, all rates calls a millisecond.
  */
-final class Logic implements Relay {
+final class WaveDeliveryPolicy implements DeliveryPolicy {
     // The wave.
     /** Share of the aim after which a copy is scheduled (the design's default). */
     private static final double COPY_OFFSET = 0.5;
@@ -61,7 +62,7 @@
     /** No call is called off for another's sake before it has been out for so long. */
     private static final double CALL_OFF_LEAST_MS = 200;
 
-    // Pace.
+    // SendRate.
     /** A pace is cut to this share: at first of the last second's sends. */
     private static final double PACE_CUT = 0.7;
     /** A pace stands for no more than this multiple of what was sent of late: unused, it only grows. */
@@ -76,7 +77,8 @@
     private static final double TOLD_WEIGHT = 0.5;
     private static final double TOLD_STEP = 2;
     /**
-     * Pace where a limit is told: this sender's even part of it, times so much with nothing left of it and so
+     * SendRate where a limit is told: this sender's even part of it, times so much with nothing left of it
+     * and so
      * much more with all left. It is the even part itself with half left, as in the mean where all is used.
      */
     private static final double LEFT_NONE = 0.2;
@@ -139,7 +141,7 @@
     private final Map<Long, Destination> destinations = new LinkedHashMap<>();
     /** What an earlier life knew of endpoints that no list has named in this one. */
     private final Map<Long, Health> recalled = new LinkedHashMap<>();
-    private final Map<Long, Pace> recalledRoutes = new LinkedHashMap<>();
+    private final Map<Long, SendRate> recalledRoutes = new LinkedHashMap<>();
     private final Map<Long, Delivery> deliveries = new LinkedHashMap<>();
     private final Set<Delivery> queue = new LinkedHashSet<>();
     private final Set<Attempt> out = new LinkedHashSet<>();
@@ -156,19 +158,19 @@
     private boolean recording = true;
     private double clock = Double.NEGATIVE_INFINITY;
 
-    Logic(Settings settings, long seed, Actions actions) {
+    WaveDeliveryPolicy(Settings settings, long seed, Actions actions) {
         this.settings = settings;
         this.actions = actions;
         this.random = new SplittableRandom(seed);
         this.slowStart = new SlowStart(settings.coldStart(), settings.senders());
         this.timers = new Timers(actions::wakeAt, CLOCK_MARGIN_MS);
-        this.joins = settings.kinds().stream().anyMatch(kind -> kind.batch() > 1);
+        this.joins = settings.kinds().stream().anyMatch(kind -> kind.batchSize() > 1);
     }
 
     // ---- events ----
 
     @Override
-    public void endpoints(double now, boolean whole, List<Endpoint> entries) {
+    public void endpointsChanged(double now, boolean whole, List<Endpoint> entries) {
         tick(now);
         if (whole) {
             targets.values().forEach(Target::leave);
@@ -184,7 +186,7 @@
                 Optional.ofNullable(recalledRoutes.remove(entry.id())).ifPresent(target.limit::recall);
             }
             target.limit.listedRate = settings.ratesListed() ? entry.listedRate() / 1000 : 0;
-            if (entry.gone()) {
+            if (entry.removed()) {
                 target.leave();
             } else {
                 target.serving = entry.serving();
@@ -195,20 +197,20 @@
     }
 
     @Override
-    public void message(double now, Message message) {
+    public void messageAccepted(double now, Message message) {
         tick(now);
         take(message).destination.demand.count(clock);
     }
 
     /** Demand is not counted: what comes back at once was asked for over a time that nobody knows. */
     @Override
-    public void resumed(double now, Message message, List<EarlierAttempt> attempts) {
+    public void messageRestored(double now, Message message, List<PreviousAttempt> attempts) {
         tick(now);
         Delivery d = take(message);
-        for (EarlierAttempt earlier : attempts) {
+        for (PreviousAttempt earlier : attempts) {
             d.attempts.add(new Attempt(d, Optional.ofNullable(targets.get(earlier.endpoint())), earlier));
         }
-        d.foundUntried = attempts.stream().noneMatch(EarlierAttempt::mayHaveRun);
+        d.foundUntried = attempts.stream().noneMatch(PreviousAttempt::mayHaveRun);
         keys.resumed(d);
         if (!attempts.isEmpty()) {
             d.suspectOutage();
@@ -217,7 +219,7 @@
     }
 
     @Override
-    public void recalled(double now, long endpoint, Health health) {
+    public void healthRestored(double now, long endpoint, Health health) {
         tick(now);
         Target target = targets.get(endpoint);
         if (target == null) {
@@ -228,9 +230,9 @@
     }
 
     @Override
-    public void recalled(double now, long destination, long route, Pace pace) {
+    public void sendRateRestored(double now, long destination, long route, SendRate pace) {
         tick(now);
-        if (route == SHARED) {
+        if (route == ALL_ROUTES) {
             destination(destination).shared.recall(pace);
         } else {
             recalledRoutes.put(route, pace);
@@ -238,13 +240,13 @@
     }
 
     @Override
-    public void closing(double now, double end) {
+    public void shutdownScheduled(double now, double end) {
         tick(now);
         closesAt = end;
     }
 
     @Override
-    public void recording(double now, boolean possible) {
+    public void recordingChanged(double now, boolean possible) {
         tick(now);
         recording = possible;
     }
@@ -279,8 +281,9 @@
         attempt.out = false;
         out.remove(attempt);
         attempt.mayHaveRun = end.outcome().mayHaveRun();
-        d.refused = end.outcome() == Outcome.FULL;
-        d.foundUntried &= end.outcome() == Outcome.UNREACHABLE || end.outcome() == Outcome.NOT_SENT;
+        d.refused = end.outcome() == AttemptOutcome.FULL;
+        d.foundUntried &= end.outcome() == AttemptOutcome.UNREACHABLE
+                || end.outcome() == AttemptOutcome.NOT_SENT;
         d.out--;
         attempt.call.ifPresent(call -> call.itemEnded(end));
         keys.attemptEnded(d, end.outcome());
@@ -301,7 +304,7 @@
     }
 
     @Override
-    public void withdrawn(double now, long message) {
+    public void messageWithdrawn(double now, long message) {
         tick(now);
         Delivery d = deliveries.get(message);
         if (d != null && !d.ended) {
@@ -316,7 +319,7 @@
     }
 
     @Override
-    public void endTurn(double now) {
+    public void endIteration(double now) {
         tick(now);
         timers.run(now);
         dispatch();
@@ -392,12 +395,13 @@
      * endpoint that is merely slow is given more patience with each call that it has lost in this way.
      */
     private void freeSlot() {
-        if (!settings.cancels()) {
+        if (!settings.cancelsRedundant()) {
             return;
         }
         Attempt most = null;
         for (Attempt a : out) {
-            boolean mayBe = !a.calledOff && a.delivery.type.effect() != Effect.UNSAFE && a.overPatience() > 1;
+            boolean mayBe = !a.calledOff && a.delivery.type.repeatSafety() != RepeatSafety.UNSAFE
+                    && a.overPatience() > 1;
             if (mayBe && (most == null || a.overPatience() > most.overPatience())) {
                 most = a;
             }
@@ -442,21 +446,21 @@
 
     /** Whether one more attempt there keeps the promise that no effect happens twice. */
     private boolean mayRepeat(Delivery d, Target target) {
-        return mayRepeat(d) && !(d.type.effect() == Effect.KEYED && d.type.sameZone()
+        return mayRepeat(d) && !(d.type.repeatSafety() == RepeatSafety.KEYED && d.type.sameZone()
                 && d.attempts.stream().anyMatch(a -> (a.out || a.mayHaveRun) && !a.isInZoneOf(target)));
     }
 
     /** The same wherever the attempt may go, as far as time and effect alone tell. */
     private boolean mayRepeat(Delivery d) {
-        return clock <= repeatUntil(d) && d.attempts.stream().noneMatch(a -> a.out && !settings.copies()
-                || (a.out || a.mayHaveRun) && d.type.effect() == Effect.UNSAFE);
+        return clock <= repeatUntil(d) && d.attempts.stream().noneMatch(a -> a.out && !settings.hedging()
+                || (a.out || a.mayHaveRun) && d.type.repeatSafety() == RepeatSafety.UNSAFE);
     }
 
     /** Until when a repeat has to be under way: a keyed message that may have run has its window. */
     private double repeatUntil(Delivery d) {
-        return d.type.effect() != Effect.KEYED ? Double.POSITIVE_INFINITY
+        return d.type.repeatSafety() != RepeatSafety.KEYED ? Double.POSITIVE_INFINITY
                 : d.attempts.stream().filter(a -> a.out || a.mayHaveRun).mapToDouble(a -> a.sentAt).min()
-                .orElse(Double.POSITIVE_INFINITY) + d.type.windowMs() - WINDOW_MARGIN_MS;
+                .orElse(Double.POSITIVE_INFINITY) + d.type.deduplicationWindowMs() - WINDOW_MARGIN_MS;
     }
 
     private void send(Delivery d, Target target, boolean copy) {
@@ -477,9 +481,9 @@
             retries.sent();
         }
         double timeout = Math.min(target.timeout(d.type), d.deadline - clock);
-        actions.send(d.message.id(), target.entry.id(), new Within(timeout, writtenMs));
+        actions.send(d.message.id(), target.entry.id(), new AttemptTiming(timeout, writtenMs));
         double offset = d.type.aimMs() * COPY_OFFSET;
-        if (settings.copies() && !copy) {
+        if (settings.hedging() && !copy) {
             timers.add(clock + offset, () -> offsetPassed(d, attempt));
         }
         timers.add(clock + Math.max(offset, target.patience()), call::overdue);
@@ -487,7 +491,7 @@
 
     /** The scheduled offset after a send: a copy may join the wave. */
     private void offsetPassed(Delivery d, Attempt attempt) {
-        boolean races = attempt.out && d.type.effect() != Effect.UNSAFE;
+        boolean races = attempt.out && d.type.repeatSafety() != RepeatSafety.UNSAFE;
         if (races && !d.ended && slotsUsed < settings.slots() && copies.allows()) {
             choose(d, true).ifPresent(target -> send(d, target, true));
         }
@@ -538,7 +542,8 @@
         if (d.ended || d.out > 0) {
             return;
         }
-        if (d.type.effect() == Effect.SAFE || d.attempts.stream().noneMatch(a -> a.out || a.mayHaveRun)) {
+        if (d.type.repeatSafety() == RepeatSafety.SAFE || d.attempts.stream().noneMatch(a -> a.out
+                || a.mayHaveRun)) {
             actions.refuse(d.message.id(), Math.max(0, d.destination.opensAt() - clock));
         } else {
             actions.fail(d.message.id());
@@ -556,7 +561,7 @@
         queue.remove(d);
         keys.ended(d);
         for (int i = 0; i < d.attempts.size(); i++) {
-            if (d.attempts.get(i).out && settings.cancels()) {
+            if (d.attempts.get(i).out && settings.cancelsRedundant()) {
                 actions.cancel(d.message.id(), i);
             }
         }
@@ -620,7 +625,7 @@
                 return 0;
             }
             double late = Math.max(0, time - aimAt);
-            double share = settings.decay() == Decay.HALVES
+            double share = settings.decay() == Decay.HALVING
                     ? Math.max(type.lateWorth(), Math.pow(0.5, late / type.aimMs()))
                     : 1 - (1 - type.lateWorth()) * late / (type.deadlineMs() - type.aimMs());
             return type.worth() * share;
@@ -654,7 +659,7 @@
             this.out = true;
         }
 
-        Attempt(Delivery delivery, Optional<Target> target, EarlierAttempt earlier) {
+        Attempt(Delivery delivery, Optional<Target> target, PreviousAttempt earlier) {
             this.delivery = delivery;
             this.call = Optional.empty();
             this.target = target;
@@ -704,9 +709,10 @@
 
         void itemEnded(AttemptEnd end) {
             itemsOut--;
-            target.limit.told(end.waitMs());
+            target.limit.told(end.requestedDelayMs());
             target.limit.says(end);
-            if (!observed && end.outcome() != Outcome.CANCELLED && end.outcome() != Outcome.NOT_SENT) {
+            if (!observed && end.outcome() != AttemptOutcome.CANCELLED
+                    && end.outcome() != AttemptOutcome.NOT_SENT) {
                 observed = true;
                 target.observe(this, end);
             }
@@ -733,7 +739,7 @@
     private final class Destination {
         final long id;
         final List<Target> targets = new ArrayList<>();
-        final Limit shared = new Limit(this, SHARED);
+        final Limit shared = new Limit(this, ALL_ROUTES);
         final EventRate demand = new EventRate(clock);
         int out;
         /** The last turn in which a message waited for it; whether gates and slots let calls pass then. */
@@ -795,10 +801,10 @@
         }
 
         /** Goes on where an earlier life ended, lest all that is held be refused once more to find it. */
-        void recall(Pace pace) {
+        void recall(SendRate pace) {
             rate = pace.perMs();
             remembered = rate;
-            toldRate = pace.toldPerMs();
+            toldRate = pace.reportedPerMs();
             nextAt = clock + random.nextDouble() / rate;
         }
 
@@ -806,7 +812,7 @@
             double known = toldRate > 0 ? evenPart() : rate;
             if (Math.abs(known - remembered) > PACE_REMEMBERED * remembered) {
                 remembered = known;
-                actions.remember(destination.id, route, new Pace(rate, toldRate));
+                actions.saveSendRate(destination.id, route, new SendRate(rate, toldRate));
             }
         }
 
@@ -815,7 +821,7 @@
             if (!outage.suspects()) {
                 outage.suspect(clock);
                 actions.suspicionChanged(new Suspicion(destination.id, true, endpoint, Suspicion.NONE,
-                        outage.fruitless()));
+                        outage.undeliveredCalls()));
             }
         }
 
@@ -841,15 +847,16 @@
 
         /** One answer's figures may be spoilt; a refusal tells that nothing is left, whatever it reports. */
         void says(AttemptEnd end) {
-            if (end.told().perSecond() > 0) {
-                double said = end.told().perSecond() / 1000;
+            if (end.limitReport().perSecond() > 0) {
+                double said = end.limitReport().perSecond() / 1000;
                 toldRate = toldRate == 0 ? said : toldRate + TOLD_WEIGHT
                         * (Math.max(toldRate / TOLD_STEP, Math.min(said, toldRate * TOLD_STEP)) - toldRate);
-                double seen = end.outcome() == Outcome.FULL ? 0 : end.told().leftOr(LEFT_USUAL);
+                double seen = end.outcome() == AttemptOutcome.FULL ? 0
+                        : end.limitReport().remainingShareOr(LEFT_USUAL);
                 left = seen + (left - seen) * Math.exp((leftAt - clock) / LEFT_MEAN_MS);
                 leftAt = clock;
                 boolean pressed = clock > pressedSince + PRESSED_MS;
-                others = !pressed || end.outcome() == Outcome.FULL ? Math.max(1, others / 2)
+                others = !pressed || end.outcome() == AttemptOutcome.FULL ? Math.max(1, others / 2)
                         : Math.min(settings.senders(), others * (1 + OTHERS_GROWTH / settings.senders()));
                 rate = evenPart() * (others * (LEFT_NONE + LEFT_ALL * left)
                         + (pressed ? UNUSED_GAIN * Math.max(0, left - LEFT_UNUSED) : 0));
@@ -919,8 +926,8 @@
             this.destination = destination;
             this.limit = kind.separateRoutes() ? new Limit(destination, entry.id())
                     : destination.shared;
-            this.batch = kind.batch();
-            this.health = new EndpointHealth(clock, settings.coldStart().warmMs(), this::healthChanged);
+            this.batch = kind.batchSize();
+            this.health = new EndpointHealth(clock, settings.coldStart().warmUpMs(), this::healthChanged);
             boolean charged = kind.separateRoutes() && entry.zone() < settings.zoneFees().size();
             this.fee = charged ? settings.zoneFees().get(entry.zone()) : 0;
         }
@@ -941,10 +948,10 @@
          */
         double cost(Delivery d) {
             if (health.state() == State.DOWN) {
-                return (d.type.effect() == Effect.UNSAFE ? 1 : -1) * Double.POSITIVE_INFINITY;
+                return (d.type.repeatSafety() == RepeatSafety.UNSAFE ? 1 : -1) * Double.POSITIVE_INFINITY;
             }
             double freeShare = 1 - (double) slotsUsed / settings.slots();
-            return latency * (1 + calls.size()) + health.fruitless() * EndpointHealth.SHUT_MS
+            return latency * (1 + calls.size()) + health.undeliveredCount() * EndpointHealth.SHUT_MS
                     + fee * FEE_MS * freeShare;
         }
 
@@ -957,7 +964,7 @@
             if (!mayJoin()) {
                 latest = new Call(this);
                 limit.sent();
-                health.warmedUp(clock);
+                health.endSlowStartIfDue(clock);
                 nextAt = health.state() == State.UP ? nextAt : nextCallAt();
             }
             latest.items++;
@@ -1003,12 +1010,13 @@
          * off, so its time-out counts.
          */
         double expectedEnd(MessageClass type) {
-            return type.effect() == Effect.UNSAFE ? timeout(type) : patience();
+            return type.repeatSafety() == RepeatSafety.UNSAFE ? timeout(type) : patience();
         }
 
         double timeout(MessageClass type) {
             double base = Math.max(type.aimMs() * TIMEOUT_AIMS, latency + TIMEOUT_DEVIATIONS * deviation);
-            double patience = type.effect() == Effect.UNSAFE ? type.deadlineMs() * UNSAFE_PATIENCE : 0;
+            double patience = type.repeatSafety() == RepeatSafety.UNSAFE
+                    ? type.deadlineMs() * UNSAFE_PATIENCE : 0;
             return Math.max(base, patience);
         }
 
@@ -1031,7 +1039,7 @@
         }
 
         private double trialRate() {
-            return slowStart.trialRate(seenRate(), destination.serving());
+            return slowStart.probeRate(seenRate(), destination.serving());
         }
 
         /** When the next call may go, after one at this time: while it is down, or warming. */
@@ -1040,18 +1048,18 @@
                 return clock + 1 / trialRate();
             }
             double usual = slowStart.usualRate(seenRate(), limitPart());
-            double back = clock - health.warmSince();
-            double interval = slowStart.rampIntervalMs(back, usual, destination.serving());
+            double back = clock - health.recoveredAt();
+            double interval = slowStart.slowStartIntervalMs(back, usual, destination.serving());
             return Math.min(clock + interval, health.warmAt());
         }
 
         void observe(Call call, AttemptEnd end) {
-            Fruitless before = limit.outage.fruitless();
+            UndeliveredCalls before = limit.outage.undeliveredCalls();
             boolean suspected = limit.outage.suspects();
             count(call, end);
             if (suspected != limit.outage.suspects()) {
                 actions.suspicionChanged(new Suspicion(destination.id, !suspected, entry.id(), end.message(),
-                        suspected ? before : limit.outage.fruitless()));
+                        suspected ? before : limit.outage.undeliveredCalls()));
             }
         }
 
@@ -1073,7 +1081,7 @@
                     connections.lost(call);
                     health.failed(clock);
                     // A call that had less time than a usual answer takes tells nothing of its destination.
-                    if (end.outcome() != Outcome.TIMED_OUT || end.tookMs() >= patience()) {
+                    if (end.outcome() != AttemptOutcome.TIMED_OUT || end.tookMs() >= patience()) {
                         failed(call);
                     }
                 }
@@ -1099,8 +1107,8 @@
 
         private void refused(Call call, AttemptEnd end) {
             limit.refused(call);
-            health.refused(clock, end.waitMs());
-            if (!call.trial && limit.outage.refused(clock, call.sentAt, end.told().left())) {
+            health.refused(clock, end.requestedDelayMs());
+            if (!call.trial && limit.outage.refused(clock, call.sentAt, end.limitReport().remainingShare())) {
                 destinationIsOut();
             }
         }
@@ -1114,7 +1122,7 @@
         private void destinationIsOut() {
             boolean lost = !limit.outage.isOnlyUnreachable();
             destination.targets.stream().filter(t -> t.limit == limit)
-                    .forEach(t -> t.health.destinationIsOut(clock, lost));
+                    .forEach(t -> t.health.destinationOutage(clock, lost));
         }
 
         void overdue(Call call) {
@@ -1140,12 +1148,13 @@
 
         private void tellChange(State from, String reason) {
             actions.endpointChanged(new EndpointChange(entry.id(), destination.id, from, health.state(),
-                    reason, limit.outage.fruitless()));
+                    reason, limit.outage.undeliveredCalls()));
         }
 
         private void remember() {
             double carried = limit.carried.perMsBeforeLast() / sharing();
-            actions.remember(entry.id(), new Health(health.state(), clock, Math.max(carried, carriedBefore)));
+            actions.saveHealth(entry.id(), new Health(health.state(), clock, Math.max(carried,
+                    carriedBefore)));
         }
 
         /**
@@ -1255,8 +1264,8 @@
         /** What was out in an earlier life may run on, so its key rests. */
         void resumed(Delivery d) {
             if (d.attempts.stream().anyMatch(a -> a.mayHaveRun)) {
-                line(d).ifPresent(l -> l.restUntil = clock + settings.keyRestMs());
-                timers.add(clock + settings.keyRestMs(), () -> drop(d));
+                line(d).ifPresent(l -> l.restUntil = clock + settings.keyPauseMs());
+                timers.add(clock + settings.keyPauseMs(), () -> drop(d));
             }
         }
 
@@ -1270,11 +1279,11 @@
             line(d).ifPresent(l -> l.out++);
         }
 
-        void attemptEnded(Delivery d, Outcome outcome) {
+        void attemptEnded(Delivery d, AttemptOutcome outcome) {
             line(d).ifPresent(l -> {
                 l.out--;
-                if (outcome.mayHaveRun() && outcome != Outcome.ERROR) {
-                    l.restUntil = clock + settings.keyRestMs();
+                if (outcome.mayHaveRun() && outcome != AttemptOutcome.ERROR) {
+                    l.restUntil = clock + settings.keyPauseMs();
                     timers.add(l.restUntil, () -> drop(d));
                 }
                 drop(d);
--- a/src/main/java/slipfield/sim/Drill.java
+++ b/src/main/java/slipfield/sim/Drill.java
@@ -19,16 +19,16 @@
 import java.util.Set;
 import slipfield.config.BadInput;
 import slipfield.config.Params;
-import slipfield.policy.Relay;
+import slipfield.policy.DeliveryPolicy;
 
-/** The adapter: the simulator's wire to {@link Relay} and back, for many instances. It decides nothing. */
+/** The adapter: the simulator's wire to {@link DeliveryPolicy} and back, for many instances. It decides nothing. */
 public final class Drill {
     private final BufferedReader in;
     private final PrintStream out;
     private final PrintStream err;
-    private final Map<String, Relay> instances = new HashMap<>();
+    private final Map<String, DeliveryPolicy> instances = new HashMap<>();
     private final Map<String, Params> settings = new HashMap<>();
-    private final Map<Integer, List<Relay.Endpoint>> lists = new HashMap<>();
+    private final Map<Integer, List<DeliveryPolicy.Endpoint>> lists = new HashMap<>();
     private final StringBuilder reply = new StringBuilder();
     private long lineNumber;
     private double now;
@@ -92,7 +92,7 @@
             guarded(instance, event);
         }
         for (String instance : touched) {
-            guarded(instance, () -> relay(instance).endTurn(now));
+            guarded(instance, () -> policy(instance).endIteration(now));
         }
         out.print(reply);
         out.print("YIELD " + batch + "\n");
@@ -113,9 +113,9 @@
             case "SPAWN": {
                 long seed = f.whole("entropy");
                 Params params = f.pairs();
-                Relay.Settings read = params.settings();
+                DeliveryPolicy.Settings read = params.settings();
                 settings.put(instance, params);
-                return () -> instances.put(instance, Relay.create(read, seed, new Wire(instance)));
+                return () -> instances.put(instance, DeliveryPolicy.create(read, seed, new Wire(instance)));
             }
             case "UPDATE":
                 return update(instance, f);
@@ -125,31 +125,31 @@
                 return attemptEnd(instance, f);
             case "CLIENT_LEFT": {
                 long message = f.whole("req");
-                return () -> relay(instance).withdrawn(now, message);
+                return () -> policy(instance).messageWithdrawn(now, message);
             }
             case "TIMER":
-                return () -> relay(instance).wake(now);
+                return () -> policy(instance).wake(now);
             case "HEADERS":
             case "CHECK_RESULT":
             case "HEARD":
-                return () -> relay(instance).wake(now);
+                return () -> policy(instance).wake(now);
             default:
                 throw new BadInput("unknown event " + name);
         }
     }
 
-    private Relay relay(String instance) {
-        Relay relay = instances.get(instance);
-        if (relay == null) {
+    private DeliveryPolicy policy(String instance) {
+        DeliveryPolicy policy = instances.get(instance);
+        if (policy == null) {
             throw new IllegalStateException("event for an instance that does not run: " + instance);
         }
-        return relay;
+        return policy;
     }
 
     private void roster(Fields f) throws IOException, BadInput {
         int list = f.index("list");
         long count = f.whole("entries");
-        List<Relay.Endpoint> rows = new ArrayList<>();
+        List<DeliveryPolicy.Endpoint> rows = new ArrayList<>();
         for (long i = 0; i < count; i++) {
             String line = nextLine();
             if (line == null) {
@@ -163,7 +163,7 @@
             long destination = row.whole("belongs_to");
             String condition = row.text("condition");
             double rate = row.numberOr("scale", 0);
-            rows.add(new Relay.Endpoint(id, destination, kind, zone, condition.equals("SERVING"), rate,
+            rows.add(new DeliveryPolicy.Endpoint(id, destination, kind, zone, condition.equals("SERVING"), rate,
                     condition.equals("DELETED")));
         }
         lists.put(list, rows);
@@ -172,10 +172,10 @@
     private Runnable update(String instance, Fields f) throws BadInput {
         String mode = f.text("mode");
         if (mode.equals("refused")) {
-            return () -> relay(instance).wake(now);
+            return () -> policy(instance).wake(now);
         }
         f.text("serial");
-        List<Relay.Endpoint> entries = lists.get(f.index("list"));
+        List<DeliveryPolicy.Endpoint> entries = lists.get(f.index("list"));
         if (entries == null) {
             throw new BadInput("UPDATE names a list that was not given");
         }
@@ -184,7 +184,7 @@
             case "changes" -> false;
             default -> throw new BadInput("unknown list mode " + mode);
         };
-        return () -> relay(instance).endpoints(now, whole, entries);
+        return () -> policy(instance).endpointsChanged(now, whole, entries);
     }
 
     private Runnable submit(String instance, Fields f) throws BadInput {
@@ -195,31 +195,31 @@
         double left = f.number("time_left_ms");
         f.text("predicted_ms");
         long destination = f.whole("to_dest");
-        Relay.Message message = new Relay.Message(id, messageClass, tenant, key, left, destination);
-        return () -> relay(instance).message(now, message);
+        DeliveryPolicy.Message message = new DeliveryPolicy.Message(id, messageClass, tenant, key, left, destination);
+        return () -> policy(instance).messageAccepted(now, message);
     }
 
     private Runnable attemptEnd(String instance, Fields f) throws BadInput {
         long message = f.whole("req");
         int attempt = f.index("round_no");
         f.text("endpoint");
-        Relay.Outcome outcome = outcome(f.text("state_code"));
+        DeliveryPolicy.AttemptOutcome outcome = outcome(f.text("state_code"));
         double took = f.number("wait_time_ms");
         boolean finished = f.whole("no_more") != 0;
         double note = f.numberOr("hold_ms", 0);
-        double wait = outcome == Relay.Outcome.FULL ? note : 0;
-        Relay.Told told = told(instance, f.optional("server_stats"));
-        Relay.AttemptEnd end = new Relay.AttemptEnd(message, attempt, outcome, took, finished, wait, told);
-        return () -> relay(instance).attemptEnded(now, end);
+        double wait = outcome == DeliveryPolicy.AttemptOutcome.FULL ? note : 0;
+        DeliveryPolicy.LimitReport told = told(instance, f.optional("server_stats"));
+        DeliveryPolicy.AttemptEnd end = new DeliveryPolicy.AttemptEnd(message, attempt, outcome, took, finished, wait, told);
+        return () -> policy(instance).attemptEnded(now, end);
     }
 
-    private Relay.Told told(String instance, Optional<String> report) throws BadInput {
+    private DeliveryPolicy.LimitReport told(String instance, Optional<String> report) throws BadInput {
         String[] figures = report.orElse("").split(",");
         Params params = settings.get(instance);
         if (params == null || figures[0].isEmpty()) {
-            return Relay.Told.NOTHING;
+            return DeliveryPolicy.LimitReport.NOTHING;
         }
-        return new Relay.Told(figure(figures, params.reportField(Params.TOLD_RATE)),
+        return new DeliveryPolicy.LimitReport(figure(figures, params.reportField(Params.TOLD_RATE)),
                 figure(figures, params.reportField(Params.TOLD_LEFT)));
     }
 
@@ -227,16 +227,16 @@
         return at < 0 || at >= figures.length ? Double.NaN : Params.parse(figures[at]);
     }
 
-    private static Relay.Outcome outcome(String code) throws BadInput {
+    private static DeliveryPolicy.AttemptOutcome outcome(String code) throws BadInput {
         return switch (code) {
-            case "success" -> Relay.Outcome.DELIVERED;
-            case "failure" -> Relay.Outcome.ERROR;
-            case "overloaded" -> Relay.Outcome.FULL;
-            case "timed_out" -> Relay.Outcome.TIMED_OUT;
-            case "unreachable" -> Relay.Outcome.UNREACHABLE;
-            case "broken" -> Relay.Outcome.BROKEN;
-            case "withdrawn" -> Relay.Outcome.CANCELLED;
-            case "void" -> Relay.Outcome.NOT_SENT;
+            case "success" -> DeliveryPolicy.AttemptOutcome.DELIVERED;
+            case "failure" -> DeliveryPolicy.AttemptOutcome.ERROR;
+            case "overloaded" -> DeliveryPolicy.AttemptOutcome.FULL;
+            case "timed_out" -> DeliveryPolicy.AttemptOutcome.TIMED_OUT;
+            case "unreachable" -> DeliveryPolicy.AttemptOutcome.UNREACHABLE;
+            case "broken" -> DeliveryPolicy.AttemptOutcome.BROKEN;
+            case "withdrawn" -> DeliveryPolicy.AttemptOutcome.CANCELLED;
+            case "void" -> DeliveryPolicy.AttemptOutcome.NOT_SENT;
             default -> throw new BadInput("unknown outcome " + code);
         };
     }
@@ -250,7 +250,7 @@
     }
 
     /** The actions of one instance, written as lines of the reply. */
-    private final class Wire implements Relay.Actions {
+    private final class Wire implements DeliveryPolicy.Actions {
         private final String instance;
 
         Wire(String instance) {
@@ -258,7 +258,7 @@
         }
 
         @Override
-        public void send(long message, long endpoint, Relay.Within within) {
+        public void send(long message, long endpoint, DeliveryPolicy.AttemptTiming within) {
             action("SUBMIT_TO", instance, message, within.timeoutMs(), endpoint);
         }
 
--- a/src/main/java/slipfield/transport/amqp/Queues.java
+++ b/src/main/java/slipfield/transport/amqp/Queues.java
@@ -20,9 +20,9 @@
 import slipfield.core.Directory;
 import slipfield.core.Transport;
 import slipfield.journal.Held;
-import slipfield.policy.Relay.Outcome;
-import slipfield.policy.Relay.Told;
-import slipfield.policy.Relay.Within;
+import slipfield.policy.DeliveryPolicy.AttemptOutcome;
+import slipfield.policy.DeliveryPolicy.AttemptTiming;
+import slipfield.policy.DeliveryPolicy.LimitReport;
 
 /**
  * Queues whose consumers are endpoints: each comes and goes by the core's directory port, and an attempt is one delivery to
@@ -88,7 +88,7 @@
         Line line = lines.remove(receiver.name());
         tell(consumers.remove(receiver.name(), nowMs()));
         // They were not sent, and can go elsewhere.
-        List.copyOf(line.waiting).forEach(call -> call.end(Outcome.NOT_SENT));
+        List.copyOf(line.waiting).forEach(call -> call.end(AttemptOutcome.NOT_SENT));
         forgetLater();
     }
 
@@ -153,19 +153,19 @@
     }
 
     @Override
-    public Attempt attempt(Held held, int number, long endpoint, Within within, long decidedNanos) {
+    public Attempt attempt(Held held, int number, long endpoint, AttemptTiming within, long decidedNanos) {
         double leftMs = Math.max(0, within.timeoutMs() - (System.nanoTime() - decidedNanos) / 1e6);
         Line line = lines.get(endpoints.get(endpoint));
-        Call call = new Call(held, number, line, leftMs, decidedNanos, within.writtenMs());
+        Call call = new Call(held, number, line, leftMs, decidedNanos, within.latestWriteMs());
         call.timer = loop.schedule(call::timedOut, (long) Math.ceil(leftMs * 1000), TimeUnit.MICROSECONDS);
         if (line == null) {
-            call.end(Outcome.NOT_SENT);
+            call.end(AttemptOutcome.NOT_SENT);
         } else if (line.waiting.isEmpty() && line.receiver.room()) {
             call.deliver();
         } else if (line.waiting.size() < line.receiver.slots()) {
             line.waiting.addLast(call);
         } else {
-            call.end(Outcome.FULL);
+            call.end(AttemptOutcome.FULL);
         }
         return call;
     }
@@ -218,13 +218,13 @@
         /** What is out can't be called back; its consumer may run it. */
         @Override
         public void cancel() {
-            end(written == null ? Outcome.NOT_SENT : Outcome.CANCELLED);
+            end(written == null ? AttemptOutcome.NOT_SENT : AttemptOutcome.CANCELLED);
         }
 
         /** In the line a repeat's window may have passed: then it is not made. */
         private void deliver() {
             if ((System.nanoTime() - decidedNanos) / 1e6 > writtenMs) {
-                end(Outcome.NOT_SENT);
+                end(AttemptOutcome.NOT_SENT);
                 return;
             }
             Properties properties = Properties.NONE.with(Property.MESSAGE_ID, held.id)
@@ -235,33 +235,33 @@
             written.addListener(f -> {
                 if (!f.isSuccess()) {
                     // The connection went before the last octet was out.
-                    end(Outcome.UNREACHABLE);
+                    end(AttemptOutcome.UNREACHABLE);
                 }
             });
         }
 
         private void settled(Receiver.How how, long waitMs) {
             switch (how) {
-                case ACKED -> end(Outcome.DELIVERED);
-                case REQUEUED -> end(Outcome.FULL, waitMs);
-                case REJECTED -> end(Outcome.ERROR);
+                case ACKED -> end(AttemptOutcome.DELIVERED);
+                case REQUEUED -> end(AttemptOutcome.FULL, waitMs);
+                case REJECTED -> end(AttemptOutcome.ERROR);
                 // Unless the write has failed, which is known when the connection is closed, it may have come over.
-                case LOST -> loop.execute(() -> end(written.isDone() && !written.isSuccess() ? Outcome.UNREACHABLE
-                        : Outcome.BROKEN));
+                case LOST -> loop.execute(() -> end(written.isDone() && !written.isSuccess() ? AttemptOutcome.UNREACHABLE
+                        : AttemptOutcome.BROKEN));
                 default -> throw new IllegalStateException();
             }
         }
 
         /** What waits in the line was never sent; what was written may have run, be it flushed yet or not. */
         private void timedOut() {
-            end(written == null ? Outcome.NOT_SENT : Outcome.TIMED_OUT);
+            end(written == null ? AttemptOutcome.NOT_SENT : AttemptOutcome.TIMED_OUT);
         }
 
-        private void end(Outcome outcome) {
+        private void end(AttemptOutcome outcome) {
             end(outcome, 0);
         }
 
-        private void end(Outcome outcome, long waitMs) {
+        private void end(AttemptOutcome outcome, long waitMs) {
             if (done) {
                 return;
             }
@@ -271,7 +271,7 @@
                 line.waiting.remove(this);
             }
             // Never at once: an end may be found while the module is being called.
-            loop.execute(() -> ends.ended(this, outcome, false, waitMs, Told.NOTHING));
+            loop.execute(() -> ends.ended(this, outcome, false, waitMs, LimitReport.NOTHING));
         }
     }
 }
--- a/src/main/java/slipfield/transport/http/Endpoints.java
+++ b/src/main/java/slipfield/transport/http/Endpoints.java
@@ -46,9 +46,9 @@
 import slipfield.journal.Held;
 import slipfield.log.Log;
 import slipfield.log.LoggedTask;
-import slipfield.policy.Relay.Outcome;
-import slipfield.policy.Relay.Told;
-import slipfield.policy.Relay.Within;
+import slipfield.policy.DeliveryPolicy.AttemptOutcome;
+import slipfield.policy.DeliveryPolicy.AttemptTiming;
+import slipfield.policy.DeliveryPolicy.LimitReport;
 import slipfield.socket.Connector;
 import slipfield.socket.StreamChannel;
 import slipfield.trace.Trace;
@@ -178,9 +178,9 @@
      * as the call was made, and its notice come too late.
      */
     @Override
-    public Attempt attempt(Held held, int number, long endpoint, Within within, long decidedNanos) {
+    public Attempt attempt(Held held, int number, long endpoint, AttemptTiming within, long decidedNanos) {
         double leftMs = Math.max(0, within.timeoutMs() - (System.nanoTime() - decidedNanos) / 1e6);
-        Call call = new Call(held, number, peers.get(endpoint), leftMs, decidedNanos, within.writtenMs());
+        Call call = new Call(held, number, peers.get(endpoint), leftMs, decidedNanos, within.latestWriteMs());
         call.timer = loop.schedule(call::timedOut, (long) Math.ceil(leftMs * 1000), TimeUnit.MICROSECONDS);
         Connection kept = call.peer.newestIdle();
         if (kept != null) {
@@ -206,7 +206,7 @@
             public void failed(Throwable cause) {
                 Log.warn("attempt.connect_failed", "message", call.held.id, "attempt", call.number, "endpoint",
                         Config.hostPort(dialled), "cause", cause);
-                call.end(Outcome.UNREACHABLE);
+                call.end(AttemptOutcome.UNREACHABLE);
             }
         });
         if (trace != null) {
@@ -273,7 +273,7 @@
         /** The last byte is out: from here on it may have run. */
         private boolean flushed;
         private boolean done;
-        private Told told = Told.NOTHING;
+        private LimitReport told = LimitReport.NOTHING;
         /** The wait that its answer's head told: it holds from when it was written, whatever becomes of the rest. */
         private double toldWaitMs;
 
@@ -304,7 +304,7 @@
         /** By closing its connection. What is still being connected has not one byte out: it has surely not run. */
         @Override
         public void cancel() {
-            end(connection == null ? Outcome.NOT_SENT : Outcome.CANCELLED);
+            end(connection == null ? AttemptOutcome.NOT_SENT : AttemptOutcome.CANCELLED);
             close();
         }
 
@@ -313,7 +313,7 @@
                 channel.close();
             } else if (!peer.serving || !dialled.equals(peer.address)) {
                 // Connecting took its time, and the list has changed meanwhile: nothing new may go there.
-                end(Outcome.NOT_SENT);
+                end(AttemptOutcome.NOT_SENT);
                 channel.close();
             } else {
                 Connection fresh = channel.pipeline().get(Connection.class);
@@ -323,7 +323,7 @@
                     write(fresh);
                 } else {
                     // A wait was told meanwhile. The connection is as good as any for the call after it.
-                    end(Outcome.NOT_SENT);
+                    end(AttemptOutcome.NOT_SENT);
                     fresh.rested();
                 }
             }
@@ -332,7 +332,7 @@
         /** Connecting may have taken so long that a repeat would come after its window: then it is not made. */
         private void write(Connection on) {
             if ((System.nanoTime() - decidedNanos) / 1e6 > writtenMs) {
-                end(Outcome.NOT_SENT);
+                end(AttemptOutcome.NOT_SENT);
                 on.close();
                 return;
             }
@@ -342,7 +342,7 @@
             } catch (IllegalArgumentException e) {
                 // A value that is no header's: no byte of it is out, and the attempt still needs its end.
                 Log.warn("attempt.write_failed", "cause", e);
-                end(Outcome.UNREACHABLE);
+                end(AttemptOutcome.UNREACHABLE);
                 on.close();
                 return;
             }
@@ -371,13 +371,13 @@
         }
 
         private void timedOut() {
-            end(flushed ? Outcome.TIMED_OUT : Outcome.UNREACHABLE);
+            end(flushed ? AttemptOutcome.TIMED_OUT : AttemptOutcome.UNREACHABLE);
             close();
         }
 
         /** The connection is gone: whether it may have run hangs on the last byte. */
         private void lost() {
-            end(flushed ? Outcome.BROKEN : Outcome.UNREACHABLE);
+            end(flushed ? AttemptOutcome.BROKEN : AttemptOutcome.UNREACHABLE);
         }
 
         /** A connection that has gone on to another call is left alone. */
@@ -387,12 +387,12 @@
             }
         }
 
-        private void end(Outcome outcome) {
+        private void end(AttemptOutcome outcome) {
             timer.cancel(false);
             end(outcome, false, toldWaitMs);
         }
 
-        private void end(Outcome outcome, boolean gone, double waitMs) {
+        private void end(AttemptOutcome outcome, boolean gone, double waitMs) {
             if (done) {
                 return;
             }
@@ -403,23 +403,23 @@
 
         /** The first line said 200: that is true whatever follows. */
         private void delivered() {
-            end(Outcome.DELIVERED, false, 0);
+            end(AttemptOutcome.DELIVERED, false, 0);
         }
 
         /** What cannot be read may have run; a delivery that was read before stands. */
         private void spoilt() {
-            end(Outcome.BROKEN);
+            end(AttemptOutcome.BROKEN);
         }
 
         /** What a whole answer says, by the protocol's table. */
         private void answered(HttpResponse response) {
             int code = response.status().code();
-            Outcome outcome = switch (code) {
-                case 200 -> Outcome.DELIVERED;
-                case 429 -> Outcome.FULL;
-                case 503 -> response.headers().contains("X-No-Slot") ? Outcome.NOT_SENT : Outcome.FULL;
-                case 504, 410 -> Outcome.NOT_SENT;
-                default -> Outcome.ERROR;
+            AttemptOutcome outcome = switch (code) {
+                case 200 -> AttemptOutcome.DELIVERED;
+                case 429 -> AttemptOutcome.FULL;
+                case 503 -> response.headers().contains("X-No-Slot") ? AttemptOutcome.NOT_SENT : AttemptOutcome.FULL;
+                case 504, 410 -> AttemptOutcome.NOT_SENT;
+                default -> AttemptOutcome.ERROR;
             };
             end(outcome, code == 410, toldWaitMs);
         }
@@ -436,10 +436,10 @@
     }
 
     /** What an answer's report, as {@code TEXT x0=0.4, x1=25}, tells of the limit; what can't be read is not told. */
-    private static Told told(HttpResponse response) {
+    private static LimitReport told(HttpResponse response) {
         String report = response.headers().get("X-Load-Report");
         if (report == null) {
-            return Told.NOTHING;
+            return LimitReport.NOTHING;
         }
         double rate = 0;
         double left = -1;
@@ -450,7 +450,7 @@
                 left = figure(figure.substring(TOLD_LEFT.length()));
             }
         }
-        return new Told(rate, left);
+        return new LimitReport(rate, left);
     }
 
     private static double figure(String text) {
--- a/src/test/java/slipfield/config/ParamsTest.java
+++ b/src/test/java/slipfield/config/ParamsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import slipfield.policy.Relay;
+import slipfield.policy.DeliveryPolicy;
 
 class ParamsTest {
     @ParameterizedTest
@@ -48,12 +48,12 @@
     @Test
     void whatAnAnswerTellsOfALimitIsBoundedOrNotBelieved() {
         for (double rate : new double[] {0, -5, Double.NaN, Double.POSITIVE_INFINITY}) {
-            assertEquals(new Relay.Told(0, -1), new Relay.Told(rate, 0.5));
+            assertEquals(new DeliveryPolicy.LimitReport(0, -1), new DeliveryPolicy.LimitReport(rate, 0.5));
         }
         for (double left : new double[] {-0.1, Double.NaN}) {
-            assertEquals(new Relay.Told(20, -1), new Relay.Told(20, left));
+            assertEquals(new DeliveryPolicy.LimitReport(20, -1), new DeliveryPolicy.LimitReport(20, left));
         }
-        assertEquals(1, new Relay.Told(20, 7).left());
-        assertEquals(0, new Relay.Endpoint(1, 1, 0, 0, true, Double.NaN, false).listedRate());
+        assertEquals(1, new DeliveryPolicy.LimitReport(20, 7).remainingShare());
+        assertEquals(0, new DeliveryPolicy.Endpoint(1, 1, 0, 0, true, Double.NaN, false).listedRate());
     }
 }
--- a/src/test/java/slipfield/core/SenderPortsTest.java
+++ b/src/test/java/slipfield/core/SenderPortsTest.java
@@ -32,7 +32,7 @@
 import slipfield.journal.Held;
 import slipfield.journal.LifeClock;
 import slipfield.journal.Owed;
-import slipfield.policy.Relay;
+import slipfield.policy.DeliveryPolicy;
 import slipfield.standin.Stub;
 import slipfield.trace.Trace;
 
@@ -65,7 +65,7 @@
                 implements Transport.Attempt {
             @Override
             public void cancel() {
-                ends.ended(this, Relay.Outcome.CANCELLED, false, 0, Relay.Told.NOTHING);
+                ends.ended(this, DeliveryPolicy.AttemptOutcome.CANCELLED, false, 0, DeliveryPolicy.LimitReport.NOTHING);
             }
         }
 
@@ -93,7 +93,8 @@
                 }
 
                 @Override
-                public Attempt attempt(Held held, int number, long endpoint, Relay.Within within, long decidedNanos) {
+                public Attempt attempt(Held held, int number, long endpoint, DeliveryPolicy.AttemptTiming within,
+                        long decidedNanos) {
                     Out attempt = new Out(held, number, System.nanoTime(), ends);
                     out.add(attempt);
                     return attempt;
@@ -227,11 +228,11 @@
         });
     }
 
-    private void end(Relay.Outcome outcome) throws Exception {
+    private void end(DeliveryPolicy.AttemptOutcome outcome) throws Exception {
         Stub.await("an attempt", () -> !world.out.isEmpty());
         World.Out attempt = world.out.remove(0);
         on(() -> {
-            attempt.ends().ended(attempt, outcome, false, 0, Relay.Told.NOTHING);
+            attempt.ends().ended(attempt, outcome, false, 0, DeliveryPolicy.LimitReport.NOTHING);
             return null;
         });
     }
@@ -247,8 +248,8 @@
     void whoAsksIsToldOfADeliveryOnceAndThePlatformIsNot() throws Exception {
         assertEquals("taken", handIn("one", "order", ASKS));
         assertEquals("taken", handIn("two", "order", Claim.PLATFORM));
-        end(Relay.Outcome.DELIVERED);
-        end(Relay.Outcome.DELIVERED);
+        end(DeliveryPolicy.AttemptOutcome.DELIVERED);
+        end(DeliveryPolicy.AttemptOutcome.DELIVERED);
         awaitTold("one queuedesk-1 DELIVERED");
         restart();
         assertEquals(1, world.told.size());
@@ -269,7 +270,8 @@
             // Comes with the sockets' next turn, as what lies unread in one of them.
             sender.loop().schedule(() -> {
                 toldNanos.set(System.nanoTime());
-                refused.ends().ended(refused, Relay.Outcome.FULL, false, WAIT_MS, Relay.Told.NOTHING);
+                refused.ends().ended(refused, DeliveryPolicy.AttemptOutcome.FULL, false, WAIT_MS,
+                        DeliveryPolicy.LimitReport.NOTHING);
             }, 0, TimeUnit.MILLISECONDS);
             String taken = handIn("decided", "order", Claim.PLATFORM);
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(LONG_TURN_MS));
@@ -325,7 +327,7 @@
         assertEquals("taken", handIn("one", "once", Claim.PLATFORM));
         assertEquals("HELD", handIn("one", "once", ASKS));
         assertEquals("HELD", handIn("one", "once", ASKS));
-        end(Relay.Outcome.ERROR);
+        end(DeliveryPolicy.AttemptOutcome.ERROR);
         awaitTold("one platform FAILED", "one queuedesk-1 FAILED");
         assertTrue(world.out.isEmpty(), "one message, one attempt");
     }
@@ -335,7 +337,7 @@
         assertEquals("taken", handIn("one", "order", ASKS));
         assertEquals("HELD", handIn("one", "order", DROPS));
         restart();
-        end(Relay.Outcome.DELIVERED);
+        end(DeliveryPolicy.AttemptOutcome.DELIVERED);
         awaitTold("one queuedesk-1 DELIVERED", "one queuedesk-2 DELIVERED");
         restart();
         assertEquals(2, world.told.size(), "nobody is told again");
@@ -353,7 +355,7 @@
             return second;
         });
         assertEquals("HELD", known);
-        end(Relay.Outcome.DELIVERED);
+        end(DeliveryPolicy.AttemptOutcome.DELIVERED);
         awaitTold("one queuedesk-2 DELIVERED", "one queuedesk-1 DELIVERED");
     }
 
@@ -367,8 +369,8 @@
             return null;
         });
         world.hearing.remove("queue");
-        end(Relay.Outcome.DELIVERED);
-        end(Relay.Outcome.DELIVERED);
+        end(DeliveryPolicy.AttemptOutcome.DELIVERED);
+        end(DeliveryPolicy.AttemptOutcome.DELIVERED);
         Stub.await("both are over", () -> handIn("two", "order", DROPS).equals("DELIVERED")
                 && handIn("one", "order", ASKS).equals("DELIVERED"));
         assertEquals(List.of(), world.told);
@@ -382,7 +384,7 @@
         assertEquals("taken", handIn("one", "once", Claim.PLATFORM));
         assertEquals("HELD", handIn("one", "once", ASKS));
         world.hearing.remove("queue");
-        end(Relay.Outcome.ERROR);
+        end(DeliveryPolicy.AttemptOutcome.ERROR);
         awaitTold("one platform FAILED");
         world.hearing.add("queue");
         restart();
@@ -399,7 +401,7 @@
         });
         assertEquals(2, on(() -> world.serving.size()), "the new one and the other directory's");
         assertEquals("taken", handIn("one", "order", ASKS));
-        end(Relay.Outcome.DELIVERED);
+        end(DeliveryPolicy.AttemptOutcome.DELIVERED);
         awaitTold("one queuedesk-1 DELIVERED");
     }
 }
--- a/src/test/java/slipfield/daemon/SenderTest.java
+++ b/src/test/java/slipfield/daemon/SenderTest.java
@@ -37,7 +37,7 @@
 import slipfield.journal.Held;
 import slipfield.journal.Journal;
 import slipfield.journal.LifeClock;
-import slipfield.policy.Relay;
+import slipfield.policy.DeliveryPolicy;
 import slipfield.standin.Stub;
 
 /** The whole sender over loopback sockets: clients, two endpoints of one destination, and the agent. */
@@ -223,14 +223,14 @@
     }
 
     /** Leaves a journal with messages that are late, not one of them tried, and what was known of endpoints. */
-    private void earlierBacklog(int many, Map<String, Relay.State> states) throws Exception {
+    private void earlierBacklog(int many, Map<String, DeliveryPolicy.State> states) throws Exception {
         try (Journal journal = new Journal(folder.resolve("state"), 3_000_000, 12)) {
             long wall = System.currentTimeMillis();
             for (int i = 0; i < many; i++) {
                 journal.taken(new Held(journal.nextNumber(), "old-" + i, "order", "acme", Optional.of("key-" + i), 7,
                         wall + 15_000, new byte[0]));
             }
-            for (Map.Entry<String, Relay.State> known : states.entrySet()) {
+            for (Map.Entry<String, DeliveryPolicy.State> known : states.entrySet()) {
                 journal.health(known.getKey(), new Journal.Health(known.getValue(), wall, 0));
             }
         }
@@ -490,7 +490,7 @@
 
     @Test
     void anOutageThatAnEarlierLifeSawGoesOnWithTrials() throws Exception {
-        earlierBacklog(5, Map.of("s-0", Relay.State.DOWN, "s-1", Relay.State.DOWN));
+        earlierBacklog(5, Map.of("s-0", DeliveryPolicy.State.DOWN, "s-1", DeliveryPolicy.State.DOWN));
         script(Stub.silent());
         start();
         Stub.await("the end of a trial", () -> ended() > 0);
@@ -508,7 +508,7 @@
             handIn(id, "order");
         }
         Stub.await("the state of both", () -> journalledHealth().values().stream()
-                .filter(h -> h.state() == Relay.State.DOWN).count() == 2);
+                .filter(h -> h.state() == DeliveryPolicy.State.DOWN).count() == 2);
     }
 
     @Test
@@ -1210,7 +1210,7 @@
         start();
         handIn("one", "order");
         Stub.await("a pace", () -> !journalled(Journal::paces).isEmpty());
-        Relay.Pace pace = journalled(Journal::paces).get(new Journal.PaceOf(7, ""));
+        DeliveryPolicy.SendRate pace = journalled(Journal::paces).get(new Journal.PaceOf(7, ""));
         assertTrue(pace.perMs() > 0 && pace.perMs() < Double.POSITIVE_INFINITY, pace.toString());
     }
 
--- a/src/test/java/slipfield/journal/JournalTest.java
+++ b/src/test/java/slipfield/journal/JournalTest.java
@@ -22,7 +22,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import slipfield.policy.Relay;
+import slipfield.policy.DeliveryPolicy;
 
 class JournalTest {
     private static final long DISK = 200_000;
@@ -86,7 +86,7 @@
                 assertEquals(Optional.of(new Held.Notice(Held.End.REFUSED, 500)), held.get(1).owed);
                 held.forEach(h -> assertEquals(List.of(Claim.PLATFORM), h.claims));
                 assertEquals(Map.of("three", true), journal.over());
-                assertEquals(Relay.State.DOWN, journal.health().get("s-1").state());
+                assertEquals(DeliveryPolicy.State.DOWN, journal.health().get("s-1").state());
                 assertEquals(0.05, journal.paces().get(new Journal.PaceOf(7, "")).perMs());
             }
         }
@@ -150,9 +150,9 @@
 
     @Test
     void healthOutlastsLivesAndCompactionsUntilAnEndpointIsInService() throws Exception {
-        Journal.Health down = new Journal.Health(Relay.State.DOWN, 100, 0.5);
-        Journal.Health warming = new Journal.Health(Relay.State.WARMING, 200, 0.25);
-        Journal.Health up = new Journal.Health(Relay.State.UP, 300, 0.25);
+        Journal.Health down = new Journal.Health(DeliveryPolicy.State.DOWN, 100, 0.5);
+        Journal.Health warming = new Journal.Health(DeliveryPolicy.State.WARMING, 200, 0.25);
+        Journal.Health up = new Journal.Health(DeliveryPolicy.State.UP, 300, 0.25);
         try (Journal journal = open()) {
             journal.health("s-1", down);
             journal.health("s-2", down);
@@ -263,8 +263,8 @@
                     journal.withdrawn(h);
                 }
             }
-            journal.health("s-1", new Journal.Health(Relay.State.DOWN, 100, 0.5));
-            journal.pace(new Journal.PaceOf(7, ""), new Relay.Pace(0.5, 0));
+            journal.health("s-1", new Journal.Health(DeliveryPolicy.State.DOWN, 100, 0.5));
+            journal.pace(new Journal.PaceOf(7, ""), new DeliveryPolicy.SendRate(0.5, 0));
         }
         return Files.readAllBytes(folder.resolve("journal"));
     }
@@ -355,7 +355,7 @@
                     new byte[1]);
             journal.taken(h);
             journal.attempt(h, new Held.Attempt("s-1", 1_001_000));
-            journal.health("s-1", new Journal.Health(Relay.State.DOWN, 1_002_000, 0));
+            journal.health("s-1", new Journal.Health(DeliveryPolicy.State.DOWN, 1_002_000, 0));
         }
         long back = -300_000;
         try (Journal journal = open(1_004_000 + back, 9000, 9)) {
@@ -379,13 +379,13 @@
 
     @Test
     void idsThatAreOverAndPacesOutlastLivesAndCompactionsWithinTheirPart() throws Exception {
-        Relay.Pace pace = new Relay.Pace(0.25, 0.1);
+        DeliveryPolicy.SendRate pace = new DeliveryPolicy.SendRate(0.25, 0.1);
         Journal.PaceOf shared = new Journal.PaceOf(7, "");
         try (Journal journal = open()) {
-            journal.pace(shared, new Relay.Pace(1, 0));
+            journal.pace(shared, new DeliveryPolicy.SendRate(1, 0));
             journal.pace(shared, pace);
             journal.pace(new Journal.PaceOf(7, "s-1"), pace);
-            journal.pace(new Journal.PaceOf(7, "s-1"), new Relay.Pace(Double.POSITIVE_INFINITY, 0));
+            journal.pace(new Journal.PaceOf(7, "s-1"), new DeliveryPolicy.SendRate(Double.POSITIVE_INFINITY, 0));
             for (int i = 0; i < 3000; i++) {
                 Held h = held(journal, 100);
                 journal.taken(h);
--- a/src/test/java/slipfield/policy/Bench.java
+++ b/src/test/java/slipfield/policy/Bench.java
@@ -14,11 +14,11 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.function.Consumer;
-import slipfield.policy.Relay.Effect;
-import slipfield.policy.Relay.Outcome;
+import slipfield.policy.DeliveryPolicy.AttemptOutcome;
+import slipfield.policy.DeliveryPolicy.RepeatSafety;
 
 /** A caller of the module for tests: a clock, recorded actions and, where strict, a check of the rules. */
-final class Bench implements Relay.Actions {
+final class Bench implements DeliveryPolicy.Actions {
     private static final double STEP = 5;
 
     record Sent(long message, int attempt, long endpoint, double at, double timeout) {
@@ -32,10 +32,10 @@
     final List<Long> closes = new ArrayList<>();
     final List<String> answers = new ArrayList<>();
     final List<Double> wakes = new ArrayList<>();
-    final Map<Long, Relay.Health> health = new HashMap<>();
-    final List<Relay.Pace> paces = new ArrayList<>();
+    final Map<Long, DeliveryPolicy.Health> health = new HashMap<>();
+    final List<DeliveryPolicy.SendRate> paces = new ArrayList<>();
     final List<Double> waits = new ArrayList<>();
-    final Relay relay;
+    final DeliveryPolicy policy;
     Consumer<Sent> onSend = s -> { };
     boolean strict;
     double listedRate;
@@ -44,10 +44,10 @@
 
     private final PriorityQueue<Due> due =
             new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::number));
-    private final Map<Long, Relay.Message> messages = new HashMap<>();
+    private final Map<Long, DeliveryPolicy.Message> messages = new HashMap<>();
     private final Map<Long, Integer> attempts = new HashMap<>();
-    private final Map<Long, Relay.Endpoint> endpoints = new HashMap<>();
-    private final Map<String, Outcome> ends = new HashMap<>();
+    private final Map<Long, DeliveryPolicy.Endpoint> endpoints = new HashMap<>();
+    private final Map<String, AttemptOutcome> ends = new HashMap<>();
     private final Set<Long> over = new HashSet<>();
     private final Map<String, List<Long>> byKey = new HashMap<>();
     private long count;
@@ -65,12 +65,13 @@
     }
 
     Bench(int slots, int senders, long seed) {
-        List<Relay.Kind> kinds =
-                List.of(new Relay.Kind(false, 1), new Relay.Kind(false, 5), new Relay.Kind(true, 1));
-        Relay.Settings settings = new Relay.Settings(LogicTest.CLASSES, kinds, true, Relay.Decay.LINE,
+        List<DeliveryPolicy.Kind> kinds =
+                List.of(new DeliveryPolicy.Kind(false, 1), new DeliveryPolicy.Kind(false, 5), new DeliveryPolicy.Kind(true, 1));
+        DeliveryPolicy.Settings settings = new DeliveryPolicy.Settings(WaveDeliveryPolicyTest.CLASSES, kinds, true,
+                DeliveryPolicy.Decay.LINEAR,
                 List.of(0.0, 0.06), senders, slots, 12, true, true, 500, 15_000,
-                new Relay.ColdStart(0.2, 12_000, 2, 1500));
-        relay = Relay.create(settings, seed, this);
+                new DeliveryPolicy.ColdStart(0.2, 12_000, 2, 1500));
+        policy = DeliveryPolicy.create(settings, seed, this);
     }
 
     Bench list(long destination, long... ids) {
@@ -81,16 +82,16 @@
     }
 
     Bench entry(long id, long destination, int kind, int zone, boolean serving) {
-        Relay.Endpoint entry = new Relay.Endpoint(id, destination, kind, zone, serving, listedRate);
+        DeliveryPolicy.Endpoint entry = new DeliveryPolicy.Endpoint(id, destination, kind, zone, serving, listedRate);
         endpoints.put(id, entry);
-        relay.endpoints(now, false, List.of(entry));
-        relay.endTurn(now);
+        policy.endpointsChanged(now, false, List.of(entry));
+        policy.endIteration(now);
         return this;
     }
 
     void gone(long id, long destination) {
-        relay.endpoints(now, false, List.of(new Relay.Endpoint(id, destination, 0, 0, false, listedRate, true)));
-        relay.endTurn(now);
+        policy.endpointsChanged(now, false, List.of(new DeliveryPolicy.Endpoint(id, destination, 0, 0, false, listedRate, true)));
+        policy.endIteration(now);
     }
 
     void take(long id, int type, long destination) {
@@ -99,14 +100,14 @@
 
     void take(long id, int type, long destination, String key) {
         handIn(id, type, destination, key);
-        relay.endTurn(now);
+        policy.endIteration(now);
     }
 
     void takeTogether(int many, int type, long destination) {
         for (long id = 1; id <= many; id++) {
             handIn(id, type, destination, "key " + id);
         }
-        relay.endTurn(now);
+        policy.endIteration(now);
     }
 
     /** One message each so many milliseconds, numbered on from those taken before, until that time. */
@@ -118,43 +119,43 @@
     }
 
     private void handIn(long id, int type, long destination, String key) {
-        Relay.Message m = new Relay.Message(id, type, 0, Optional.of(key), 16_000, destination);
-        relay.message(now, m);
+        DeliveryPolicy.Message m = new DeliveryPolicy.Message(id, type, 0, Optional.of(key), 16_000, destination);
+        policy.messageAccepted(now, m);
         messages.put(id, m);
-        if (LogicTest.CLASSES.get(type).inOrder()) {
+        if (WaveDeliveryPolicyTest.CLASSES.get(type).inOrder()) {
             byKey.computeIfAbsent(key, k -> new ArrayList<>()).add(id);
         }
     }
 
     /** A message of an earlier life, with the attempts made then. */
-    void resume(long id, int type, long destination, double leftMs, List<Relay.EarlierAttempt> earlier) {
+    void resume(long id, int type, long destination, double leftMs, List<DeliveryPolicy.PreviousAttempt> earlier) {
         resumeInTurn(id, type, destination, leftMs, earlier);
-        relay.endTurn(now);
+        policy.endIteration(now);
     }
 
-    void resumeInTurn(long id, int type, long destination, double leftMs, List<Relay.EarlierAttempt> earlier) {
-        Relay.Message m = new Relay.Message(id, type, 0, Optional.of("key " + id), leftMs, destination);
+    void resumeInTurn(long id, int type, long destination, double leftMs, List<DeliveryPolicy.PreviousAttempt> earlier) {
+        DeliveryPolicy.Message m = new DeliveryPolicy.Message(id, type, 0, Optional.of("key " + id), leftMs, destination);
         attempts.put(id, earlier.size());
         messages.put(id, m);
-        relay.resumed(now, m, earlier);
+        policy.messageRestored(now, m, earlier);
     }
 
-    void end(long message, int attempt, Outcome outcome) {
+    void end(long message, int attempt, AttemptOutcome outcome) {
         end(message, attempt, outcome, 0);
     }
 
-    void end(long message, int attempt, Outcome outcome, double waitMs) {
-        boolean finished = outcome == Outcome.DELIVERED || over.contains(message);
+    void end(long message, int attempt, AttemptOutcome outcome, double waitMs) {
+        boolean finished = outcome == AttemptOutcome.DELIVERED || over.contains(message);
         ends.put(message + "/" + attempt, outcome);
-        if (outcome == Outcome.DELIVERED) {
+        if (outcome == AttemptOutcome.DELIVERED) {
             over.add(message);
         }
-        relay.attemptEnded(now, new Relay.AttemptEnd(message, attempt, outcome, 10, finished, waitMs,
-                new Relay.Told(toldRate, -1)));
-        relay.endTurn(now);
+        policy.attemptEnded(now, new DeliveryPolicy.AttemptEnd(message, attempt, outcome, 10, finished, waitMs,
+                new DeliveryPolicy.LimitReport(toldRate, -1)));
+        policy.endIteration(now);
     }
 
-    void endLater(Sent s, Outcome outcome, double took) {
+    void endLater(Sent s, AttemptOutcome outcome, double took) {
         at(now + took, () -> {
             if (!ends.containsKey(s.message + "/" + s.attempt)) {
                 end(s.message, s.attempt, outcome);
@@ -164,8 +165,8 @@
 
     void withdraw(long id) {
         over.add(id);
-        relay.withdrawn(now, id);
-        relay.endTurn(now);
+        policy.messageWithdrawn(now, id);
+        policy.endIteration(now);
     }
 
     void at(double time, Runnable event) {
@@ -183,7 +184,7 @@
     }
 
     long delivered() {
-        return ends.values().stream().filter(o -> o == Outcome.DELIVERED).count();
+        return ends.values().stream().filter(o -> o == AttemptOutcome.DELIVERED).count();
     }
 
     List<Long> sent() {
@@ -197,7 +198,7 @@
     }
 
     @Override
-    public void send(long message, long endpoint, Relay.Within within) {
+    public void send(long message, long endpoint, DeliveryPolicy.AttemptTiming within) {
         int attempt = attempts.merge(message, 1, Integer::sum) - 1;
         Sent s = new Sent(message, attempt, endpoint, now, within.timeoutMs());
         if (strict) {
@@ -207,9 +208,9 @@
         onSend.accept(s);
     }
 
-    private void check(Sent s, Relay.Within within) {
-        Relay.Message m = messages.get(s.message);
-        Relay.MessageClass type = LogicTest.CLASSES.get(m.messageClass());
+    private void check(Sent s, DeliveryPolicy.AttemptTiming within) {
+        DeliveryPolicy.Message m = messages.get(s.message);
+        DeliveryPolicy.MessageClass type = WaveDeliveryPolicyTest.CLASSES.get(m.messageClass());
         assertFalse(over.contains(s.message), "sent after the end");
         assertTrue(endpoints.get(s.endpoint).serving(), "sent to a draining endpoint");
         assertEquals(m.destination(), endpoints.get(s.endpoint).destination());
@@ -217,13 +218,14 @@
             if (earlier.message != s.message) {
                 continue;
             }
-            Outcome outcome = ends.get(earlier.message + "/" + earlier.attempt);
+            AttemptOutcome outcome = ends.get(earlier.message + "/" + earlier.attempt);
             if (outcome != null && !outcome.mayHaveRun()) {
                 continue;
             }
-            assertFalse(type.effect() == Effect.UNSAFE, "an unsafe message may have run twice");
-            if (type.effect() == Effect.KEYED) {
-                assertTrue(now + within.writtenMs() <= earlier.at + type.windowMs(), "may come outside the window");
+            assertFalse(type.repeatSafety() == RepeatSafety.UNSAFE, "an unsafe message may have run twice");
+            if (type.repeatSafety() == RepeatSafety.KEYED) {
+                assertTrue(now + within.latestWriteMs() <= earlier.at + type.deduplicationWindowMs(),
+                        "may come outside the window");
                 assertTrue(!type.sameZone()
                         || endpoints.get(earlier.endpoint).zone() == endpoints.get(s.endpoint).zone());
             }
@@ -247,7 +249,7 @@
         if (strict) {
             at(now, () -> {
                 if (!ends.containsKey(message + "/" + attempt)) {
-                    end(message, attempt, Outcome.CANCELLED);
+                    end(message, attempt, AttemptOutcome.CANCELLED);
                 }
             });
         }
@@ -262,8 +264,8 @@
     public void refuse(long message, double waitMs) {
         waits.add(waitMs);
         if (strict) {
-            Effect effect = LogicTest.CLASSES.get(messages.get(message).messageClass()).effect();
-            for (int i = 0; effect == Effect.UNSAFE && i < attempts.getOrDefault(message, 0); i++) {
+            RepeatSafety effect = WaveDeliveryPolicyTest.CLASSES.get(messages.get(message).messageClass()).repeatSafety();
+            for (int i = 0; effect == RepeatSafety.UNSAFE && i < attempts.getOrDefault(message, 0); i++) {
                 assertFalse(ends.get(message + "/" + i).mayHaveRun(), "refused though it may have run");
             }
         }
@@ -284,18 +286,18 @@
     public void wakeAt(double time) {
         wakes.add(time);
         at(Math.max(time, now + 0.001), () -> {
-            relay.wake(now);
-            relay.endTurn(now);
+            policy.wake(now);
+            policy.endIteration(now);
         });
     }
 
     @Override
-    public void remember(long destination, long route, Relay.Pace now) {
+    public void saveSendRate(long destination, long route, DeliveryPolicy.SendRate now) {
         paces.add(now);
     }
 
     @Override
-    public void remember(long endpoint, Relay.Health now) {
+    public void saveHealth(long endpoint, DeliveryPolicy.Health now) {
         health.put(endpoint, now);
     }
 
--- a/src/test/java/slipfield/policy/EndpointHealthTest.java
+++ b/src/test/java/slipfield/policy/EndpointHealthTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import org.junit.jupiter.api.Test;
-import slipfield.policy.Relay.State;
+import slipfield.policy.DeliveryPolicy.State;
 
 /** One endpoint's state, from the ends of its calls. */
 class EndpointHealthTest {
@@ -27,13 +27,13 @@
 
     @Test
     void aRampEndsByTimeThoughNoCallEnds() {
-        health.destinationIsOut(1000, true);
+        health.destinationOutage(1000, true);
         health.delivered(5000, 4900);
         assertEquals(State.WARMING, health.state());
-        assertEquals(3000, health.warmSince(), "halfway from the last failure");
-        health.warmedUp(16_999);
+        assertEquals(3000, health.recoveredAt(), "halfway from the last failure");
+        health.endSlowStartIfDue(16_999);
         assertEquals(State.WARMING, health.state());
-        health.warmedUp(17_000);
+        health.endSlowStartIfDue(17_000);
         assertEquals(State.UP, health.state());
     }
 
@@ -41,7 +41,7 @@
     @Test
     void aDestinationThatWasUnreachableForAMomentHasNoRamp() {
         health.delivered(20_000, 19_950);
-        health.destinationIsOut(20_400, false);
+        health.destinationOutage(20_400, false);
         health.delivered(20_900, 20_850);
         assertEquals(State.UP, health.state());
     }
--- a/src/test/java/slipfield/policy/ExampleTest.java
+++ b/src/test/java/slipfield/policy/ExampleTest.java
@@ -13,24 +13,25 @@
 
     @Test
     void oneMessageFromArrivalToDelivery() {
-        Relay.MessageClass order =
-                new Relay.MessageClass(2000, 16_000, 1, 0.5, Relay.Effect.SAFE, false, 0, false);
-        Relay.Settings settings = new Relay.Settings(List.of(order), List.of(new Relay.Kind(false, 1)), false,
-                Relay.Decay.LINE, List.of(), 1, 10, 6, true, true, 0, 15_000,
-                new Relay.ColdStart(0.2, 10_000, 2, 1500));
-        Relay relay = Relay.create(settings, 42, new Printing());
-        relay.endpoints(0, true, List.of(new Relay.Endpoint(51, 7, 0, 0, true, 0)));
-        relay.message(0, new Relay.Message(1, 0, 0, Optional.empty(), 16_000, 7));
-        relay.endTurn(0);
-        relay.attemptEnded(80, new Relay.AttemptEnd(1, 0, Relay.Outcome.DELIVERED, 80, true, 0));
-        relay.endTurn(80);
+        DeliveryPolicy.MessageClass order =
+                new DeliveryPolicy.MessageClass(2000, 16_000, 1, 0.5, DeliveryPolicy.RepeatSafety.SAFE, false, 0, false);
+        DeliveryPolicy.Settings settings = new DeliveryPolicy.Settings(List.of(order), List.of(new DeliveryPolicy.Kind(false,
+                1)), false,
+                DeliveryPolicy.Decay.LINEAR, List.of(), 1, 10, 6, true, true, 0, 15_000,
+                new DeliveryPolicy.ColdStart(0.2, 10_000, 2, 1500));
+        DeliveryPolicy policy = DeliveryPolicy.create(settings, 42, new Printing());
+        policy.endpointsChanged(0, true, List.of(new DeliveryPolicy.Endpoint(51, 7, 0, 0, true, 0)));
+        policy.messageAccepted(0, new DeliveryPolicy.Message(1, 0, 0, Optional.empty(), 16_000, 7));
+        policy.endIteration(0);
+        policy.attemptEnded(80, new DeliveryPolicy.AttemptEnd(1, 0, DeliveryPolicy.AttemptOutcome.DELIVERED, 80, true, 0));
+        policy.endIteration(80);
         assertEquals(List.of("send 1 to 51", "wake at 1000.0"), done.subList(0, 2));
     }
 
     /** Stands for the caller's network client and timers. */
-    private final class Printing implements Relay.Actions {
+    private final class Printing implements DeliveryPolicy.Actions {
         @Override
-        public void send(long message, long endpoint, Relay.Within within) {
+        public void send(long message, long endpoint, DeliveryPolicy.AttemptTiming within) {
             done.add("send " + message + " to " + endpoint);
         }
 
--- a/src/test/java/slipfield/policy/FleetBench.java
+++ b/src/test/java/slipfield/policy/FleetBench.java
@@ -12,7 +12,7 @@
 import java.util.Random;
 import java.util.Set;
 import slipfield.SimulatedTime;
-import slipfield.policy.Relay.Outcome;
+import slipfield.policy.DeliveryPolicy.AttemptOutcome;
 
 /**
  * Many instances of the module on one clock, against modelled destinations whose limits hold for all of them together and
@@ -43,8 +43,8 @@
     private static final double RATE_BURST_MS = 1000;
     private static final double WINDOW_MS = 1500;
     private static final long CLASS_DEADLINE_MS = 12_000;
-    private static final Relay.MessageClass ORDER = new Relay.MessageClass(1000, CLASS_DEADLINE_MS, 1, 0.3,
-            Relay.Effect.KEYED, false, 5000, false);
+    private static final DeliveryPolicy.MessageClass ORDER = new DeliveryPolicy.MessageClass(1000, CLASS_DEADLINE_MS, 1, 0.3,
+            DeliveryPolicy.RepeatSafety.KEYED, false, 5000, false);
 
     /** A call that has reached a destination. */
     record Call(double at, int sender, boolean delivered) {
@@ -137,13 +137,14 @@
             told.add(new double[] {now + REPORT_DELAY_MS, Math.max(0, 1 - used / most()), perSecond});
         }
 
-        private Relay.Told tells() {
+        private DeliveryPolicy.LimitReport tells() {
             while (!told.isEmpty() && told.peek()[0] <= now) {
                 double[] newest = told.remove();
                 leftTold = newest[1];
                 rateTold = newest[2];
             }
-            return tells ? new Relay.Told(rateTold * (0.93 + 0.14 * random.nextDouble()), leftTold) : Relay.Told.NOTHING;
+            return tells ? new DeliveryPolicy.LimitReport(rateTold * (0.93 + 0.14 * random.nextDouble()), leftTold)
+                    : DeliveryPolicy.LimitReport.NOTHING;
         }
 
         long calls(double from, double to) {
@@ -177,14 +178,14 @@
     }
 
     /** One sender with its own instance, until it is killed. */
-    private final class Sender implements Relay.Actions {
+    private final class Sender implements DeliveryPolicy.Actions {
         private final int number;
-        private final Relay relay;
-        private final Map<Long, Relay.Message> held = new LinkedHashMap<>();
+        private final DeliveryPolicy policy;
+        private final Map<Long, DeliveryPolicy.Message> held = new LinkedHashMap<>();
         private final Map<Long, Integer> attempts = new HashMap<>();
-        private final Map<Long, List<Relay.EarlierAttempt>> earlier = new HashMap<>();
-        private final Map<Long, Relay.Pace> paces = new HashMap<>();
-        private final Map<Long, Relay.Health> healths = new HashMap<>();
+        private final Map<Long, List<DeliveryPolicy.PreviousAttempt>> earlier = new HashMap<>();
+        private final Map<Long, DeliveryPolicy.SendRate> paces = new HashMap<>();
+        private final Map<Long, DeliveryPolicy.Health> healths = new HashMap<>();
         private final Map<String, Runnable> hanging = new HashMap<>();
         private final int fleetSize;
         private boolean alive = true;
@@ -192,29 +193,30 @@
         private Sender(int number, long seed, int fleetSize) {
             this.number = number;
             this.fleetSize = fleetSize;
-            this.relay = Relay.create(new Relay.Settings(List.of(ORDER), List.of(new Relay.Kind(false, 1)), true,
-                    Relay.Decay.HALVES, List.of(), fleetSize, 8, 12, true, true, 500, KEEP_ALIVE_MS,
-                    new Relay.ColdStart(0.2, 12_000, 2, 1500)), seed, this);
-            List<Relay.Endpoint> list = new ArrayList<>();
+            this.policy = DeliveryPolicy.create(new DeliveryPolicy.Settings(List.of(ORDER),
+                    List.of(new DeliveryPolicy.Kind(false, 1)), true,
+                    DeliveryPolicy.Decay.HALVING, List.of(), fleetSize, 8, 12, true, true, 500, KEEP_ALIVE_MS,
+                    new DeliveryPolicy.ColdStart(0.2, 12_000, 2, 1500)), seed, this);
+            List<DeliveryPolicy.Endpoint> list = new ArrayList<>();
             for (Destination d : destinations.values()) {
                 for (int i = 0; i < d.endpoints; i++) {
-                    list.add(new Relay.Endpoint(d.id + i * ENDPOINT_STRIDE, d.id, 0, 0, true, d.perSecond));
+                    list.add(new DeliveryPolicy.Endpoint(d.id + i * ENDPOINT_STRIDE, d.id, 0, 0, true, d.perSecond));
                 }
             }
-            relay.endpoints(now, true, list);
-            relay.endTurn(now);
+            policy.endpointsChanged(now, true, list);
+            policy.endIteration(now);
         }
 
-        private void take(Relay.Message m) {
+        private void take(DeliveryPolicy.Message m) {
             held.put(m.id(), m);
-            relay.message(now, m);
-            relay.endTurn(now);
+            policy.messageAccepted(now, m);
+            policy.endIteration(now);
         }
 
         @Override
-        public void send(long message, long endpoint, Relay.Within within) {
+        public void send(long message, long endpoint, DeliveryPolicy.AttemptTiming within) {
             int attempt = attempts.merge(message, 1, Integer::sum) - 1;
-            earlier.computeIfAbsent(message, m -> new ArrayList<>()).add(new Relay.EarlierAttempt(endpoint, now, true));
+            earlier.computeIfAbsent(message, m -> new ArrayList<>()).add(new DeliveryPolicy.PreviousAttempt(endpoint, now, true));
             double sent = now;
             Destination d = destinations.get(endpoint % ENDPOINT_STRIDE);
             at(now + CONNECT_MS, () -> {
@@ -224,28 +226,28 @@
                 }
                 boolean delivered = d.connects(number) && d.takes();
                 d.calls.add(new Call(now, number, delivered));
-                at(now + LATENCY_MS, () -> end(message, attempt, delivered ? Outcome.DELIVERED : Outcome.FULL, sent,
+                at(now + LATENCY_MS, () -> end(message, attempt, delivered ? AttemptOutcome.DELIVERED : AttemptOutcome.FULL, sent,
                         d.tells()));
             });
         }
 
-        private void strike(Destination d, long message, int attempt, double sent, Relay.Within within) {
+        private void strike(Destination d, long message, int attempt, double sent, DeliveryPolicy.AttemptTiming within) {
             switch (d.outage) {
                 case REFUSES_CONNECTIONS -> {
                     d.refusedConnects++;
-                    meet(d, message, attempt, Outcome.UNREACHABLE, sent);
+                    meet(d, message, attempt, AttemptOutcome.UNREACHABLE, sent);
                 }
-                case ANSWERS_ERRORS -> at(now + LATENCY_MS, () -> meet(d, message, attempt, Outcome.ERROR, sent));
+                case ANSWERS_ERRORS -> at(now + LATENCY_MS, () -> meet(d, message, attempt, AttemptOutcome.ERROR, sent));
                 case ANSWERS_FULL -> {
                     d.takes();
-                    at(now + LATENCY_MS, () -> meet(d, message, attempt, Outcome.FULL, sent));
+                    at(now + LATENCY_MS, () -> meet(d, message, attempt, AttemptOutcome.FULL, sent));
                 }
                 case HANGS -> {
-                    Runnable cancelled = () -> meet(d, message, attempt, Outcome.CANCELLED, sent);
+                    Runnable cancelled = () -> meet(d, message, attempt, AttemptOutcome.CANCELLED, sent);
                     hanging.put(message + "/" + attempt, cancelled);
                     at(sent + within.timeoutMs(), () -> {
                         if (hanging.remove(message + "/" + attempt) != null) {
-                            meet(d, message, attempt, Outcome.TIMED_OUT, sent);
+                            meet(d, message, attempt, AttemptOutcome.TIMED_OUT, sent);
                         }
                     });
                 }
@@ -253,28 +255,28 @@
             }
         }
 
-        private void meet(Destination d, long message, int attempt, Outcome outcome, double sent) {
+        private void meet(Destination d, long message, int attempt, AttemptOutcome outcome, double sent) {
             if (d.down) {
                 d.met.add(number);
             }
-            end(message, attempt, outcome, sent, outcome == Outcome.FULL ? d.tells() : Relay.Told.NOTHING);
+            end(message, attempt, outcome, sent, outcome == AttemptOutcome.FULL ? d.tells() : DeliveryPolicy.LimitReport.NOTHING);
         }
 
-        private void end(long message, int attempt, Outcome outcome, double sent, Relay.Told told) {
+        private void end(long message, int attempt, AttemptOutcome outcome, double sent, DeliveryPolicy.LimitReport told) {
             if (!alive) {
                 return;
             }
             boolean finished = !held.containsKey(message);
-            if (outcome == Outcome.DELIVERED && !finished) {
+            if (outcome == AttemptOutcome.DELIVERED && !finished) {
                 over(message, true);
                 finished = true;
             }
-            relay.attemptEnded(now, new Relay.AttemptEnd(message, attempt, outcome, now - sent, finished, 0, told));
-            relay.endTurn(now);
+            policy.attemptEnded(now, new DeliveryPolicy.AttemptEnd(message, attempt, outcome, now - sent, finished, 0, told));
+            policy.endIteration(now);
         }
 
         private void over(long message, boolean delivered) {
-            Relay.Message m = held.remove(message);
+            DeliveryPolicy.Message m = held.remove(message);
             double age = now - takenAt.get(message);
             ends.add(new End(m.destination(), now, delivered ? age : Double.POSITIVE_INFINITY));
         }
@@ -304,19 +306,19 @@
         public void wakeAt(double time) {
             at(Math.max(time, now + 0.001), () -> {
                 if (alive) {
-                    relay.wake(now);
-                    relay.endTurn(now);
+                    policy.wake(now);
+                    policy.endIteration(now);
                 }
             });
         }
 
         @Override
-        public void remember(long endpoint, Relay.Health health) {
+        public void saveHealth(long endpoint, DeliveryPolicy.Health health) {
             healths.put(endpoint, health);
         }
 
         @Override
-        public void remember(long destination, long route, Relay.Pace pace) {
+        public void saveSendRate(long destination, long route, DeliveryPolicy.SendRate pace) {
             paces.put(destination, pace);
         }
 
@@ -402,7 +404,7 @@
     private void handIn(Destination d) {
         long id = messages++;
         takenAt.put(id, now);
-        drawn().take(new Relay.Message(id, 0, 0, Optional.empty(), CLASS_DEADLINE_MS, d.id));
+        drawn().take(new DeliveryPolicy.Message(id, 0, 0, Optional.empty(), CLASS_DEADLINE_MS, d.id));
     }
 
     private Sender drawn() {
@@ -438,19 +440,19 @@
             Sender next = new Sender(number, seed * 1000 + 500 + number, dead.fleetSize);
             next.paces.putAll(dead.paces);
             next.healths.putAll(dead.healths);
-            dead.healths.forEach((id, health) -> next.relay.recalled(now, id, health));
-            dead.paces.forEach((id, pace) -> next.relay.recalled(now, id, Relay.SHARED, pace));
-            for (Relay.Message m : dead.held.values()) {
-                List<Relay.EarlierAttempt> earlier = dead.earlier.getOrDefault(m.id(), List.of());
+            dead.healths.forEach((id, health) -> next.policy.healthRestored(now, id, health));
+            dead.paces.forEach((id, pace) -> next.policy.sendRateRestored(now, id, DeliveryPolicy.ALL_ROUTES, pace));
+            for (DeliveryPolicy.Message m : dead.held.values()) {
+                List<DeliveryPolicy.PreviousAttempt> earlier = dead.earlier.getOrDefault(m.id(), List.of());
                 next.held.put(m.id(), m);
                 if (earlier.isEmpty() && now < takenAt.get(m.id()) + CLASS_DEADLINE_MS) {
                     untried.add(m.id());
                 }
                 next.attempts.put(m.id(), earlier.size());
-                next.relay.resumed(now, new Relay.Message(m.id(), 0, 0, Optional.empty(),
+                next.policy.messageRestored(now, new DeliveryPolicy.Message(m.id(), 0, 0, Optional.empty(),
                         Math.max(10, CLASS_DEADLINE_MS - (now - takenAt.get(m.id()))), m.destination()), earlier);
             }
-            next.relay.endTurn(now);
+            next.policy.endIteration(now);
             senders.set(number, next);
         });
     }
--- a/src/test/java/slipfield/policy/HoursTest.java
+++ b/src/test/java/slipfield/policy/HoursTest.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import slipfield.policy.Relay.Outcome;
+import slipfield.policy.DeliveryPolicy.AttemptOutcome;
 
 /** Hours of traffic, faults and replaced endpoints on the fake clock: at rest the module holds no more than one that is new. */
 class HoursTest {
@@ -42,7 +42,7 @@
             for (Object entry : entries) {
                 count(entry, field, sizes, seen);
             }
-        } else if (at.getClass().getName().startsWith("slipfield.policy.Logic")) {
+        } else if (at.getClass().getName().startsWith("slipfield.policy.WaveDeliveryPolicy")) {
             for (Field f : at.getClass().getDeclaredFields()) {
                 if (!Modifier.isStatic(f.getModifiers()) && !f.getType().isPrimitive()) {
                     f.setAccessible(true);
@@ -59,7 +59,7 @@
 
     /** Rests, and does one message a destination, whose end finds and trims what is old. */
     private static Map<String, Integer> atRest(Bench b) throws IllegalAccessException {
-        b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 30);
+        b.onSend = s -> b.endLater(s, AttemptOutcome.DELIVERED, 30);
         for (int pass = 0; pass < 2; pass++) {
             b.until(b.now + REST_MS);
             for (int d = 1; d <= DESTINATIONS; d++) {
@@ -67,7 +67,7 @@
             }
             b.until(b.now + 30_000);
         }
-        return tables(b.relay);
+        return tables(b.policy);
     }
 
     @Test
@@ -77,10 +77,10 @@
         for (int d = 1; d <= DESTINATIONS; d++) {
             b.entry(endpoint(d, 0), d, 0, 0, true);
         }
-        Outcome[] bad = {Outcome.FULL, Outcome.ERROR, Outcome.UNREACHABLE, Outcome.CANCELLED};
+        AttemptOutcome[] bad = {AttemptOutcome.FULL, AttemptOutcome.ERROR, AttemptOutcome.UNREACHABLE, AttemptOutcome.CANCELLED};
         b.onSend = s -> {
             boolean fails = random.nextInt(100) < (s.at() % 600_000 < 60_000 ? 80 : 10);
-            b.endLater(s, fails ? bad[random.nextInt(bad.length)] : Outcome.DELIVERED, 20 + random.nextInt(400));
+            b.endLater(s, fails ? bad[random.nextInt(bad.length)] : AttemptOutcome.DELIVERED, 20 + random.nextInt(400));
         };
         long id = 0;
         int replaced = 0;
--- a/src/test/java/slipfield/policy/OutageDetectorTest.java
+++ b/src/test/java/slipfield/policy/OutageDetectorTest.java
@@ -21,7 +21,7 @@
         assertTrue(detector.allows());
         assertTrue(detector.failed(200, 150), "the second makes it sure");
         assertFalse(detector.failed(300, 250), "once");
-        assertEquals(new Relay.Fruitless(3, 0, 100), detector.fruitless());
+        assertEquals(new DeliveryPolicy.UndeliveredCalls(3, 0, 100), detector.undeliveredCalls());
         detector.delivered();
         assertFalse(detector.suspects());
     }
--- a/src/test/java/slipfield/policy/LogicTest.java
+++ b/src/test/java/slipfield/policy/WaveDeliveryPolicyTest.java
@@ -11,14 +11,14 @@
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import slipfield.policy.Relay.Effect;
-import slipfield.policy.Relay.Outcome;
+import slipfield.policy.DeliveryPolicy.AttemptOutcome;
+import slipfield.policy.DeliveryPolicy.RepeatSafety;
 
 /**
  * The module's behaviour, through its interface. Class 0 is safe, 1 keyed, 2 unsafe and in order, 3 keyed by
  * zone.
  */
-class LogicTest {
+class WaveDeliveryPolicyTest {
     private static final int SAFE = 0;
     private static final int KEYED = 1;
     private static final int UNSAFE = 2;
@@ -33,8 +33,8 @@
         b.until(15_990);
         int asked = b.wakes.size();
         b.now = b.wakes.get(asked - 1) - 0.0004;
-        b.relay.wake(b.now);
-        b.relay.endTurn(b.now);
+        b.policy.wake(b.now);
+        b.policy.endIteration(b.now);
         assertEquals(asked + 1, b.wakes.size());
     }
 
@@ -62,9 +62,9 @@
         Bench b = new Bench().list(1, 10, 11);
         b.take(1, SAFE, 1);
         b.until(1010);
-        b.end(1, 1, Outcome.DELIVERED);
+        b.end(1, 1, AttemptOutcome.DELIVERED);
         assertEquals(List.of("1/0"), b.cancels);
-        b.end(1, 0, Outcome.CANCELLED);
+        b.end(1, 0, AttemptOutcome.CANCELLED);
         b.until(20_000);
         assertEquals(2, b.sends.size());
         assertTrue(b.answers.isEmpty());
@@ -75,10 +75,10 @@
         Bench b = new Bench().list(1, 10, 11);
         b.take(1, SAFE, 1);
         b.until(1010);
-        b.end(1, 0, Outcome.ERROR);
+        b.end(1, 0, AttemptOutcome.ERROR);
         b.until(1900);
         assertEquals(2, b.sends.size());
-        b.end(1, 1, Outcome.ERROR);
+        b.end(1, 1, AttemptOutcome.ERROR);
         b.until(2600);
         assertEquals(3, b.sends.size());
     }
@@ -118,7 +118,7 @@
     @Test
     void quickErrorsDoNotBurnAllAttempts() {
         Bench b = new Bench().list(1, 10);
-        b.onSend = s -> b.endLater(s, Outcome.ERROR, 10);
+        b.onSend = s -> b.endLater(s, AttemptOutcome.ERROR, 10);
         b.take(1, SAFE, 1);
         b.until(1000);
         assertTrue(b.sends.size() >= 2 && b.sends.size() <= 5, "sends " + b.sends.size());
@@ -135,7 +135,7 @@
         assertTrue(b.answers.isEmpty());
         b.until(16_020);
         assertEquals(List.of("refuse 1"), b.answers, "nothing ran; the other is still out");
-        b.end(2, 0, Outcome.TIMED_OUT);
+        b.end(2, 0, AttemptOutcome.TIMED_OUT);
         assertEquals(List.of("refuse 1", "fail 2"), b.answers);
         b.until(40_000);
         assertEquals(2, b.answers.size());
@@ -146,10 +146,10 @@
     void anUnsafeMessageGoesAgainOnlyWithProofThatItNeverRan() {
         Bench b = new Bench().list(1, 10, 11);
         b.take(1, UNSAFE, 1);
-        b.end(1, 0, Outcome.UNREACHABLE);
+        b.end(1, 0, AttemptOutcome.UNREACHABLE);
         b.until(1000);
         assertEquals(2, b.sends.size());
-        b.end(1, 1, Outcome.ERROR);
+        b.end(1, 1, AttemptOutcome.ERROR);
         assertEquals(List.of("fail 1"), b.answers);
         b.until(20_000);
         assertEquals(2, b.sends.size());
@@ -162,7 +162,7 @@
         b.until(4000);
         int sent = b.sends.size();
         for (int i = 0; i < sent; i++) {
-            b.end(1, i, Outcome.TIMED_OUT);
+            b.end(1, i, AttemptOutcome.TIMED_OUT);
         }
         b.until(16_100);
         assertEquals(sent, b.sends.size());
@@ -176,7 +176,7 @@
         b.take(1, BY_ZONE, 1);
         long first = b.sends.get(0).endpoint();
         b.until(1010);
-        b.end(1, 0, Outcome.TIMED_OUT);
+        b.end(1, 0, AttemptOutcome.TIMED_OUT);
         b.until(3000);
         assertTrue(b.sends.size() >= 2);
         assertTrue(b.sends.stream().allMatch(s -> s.endpoint() == first));
@@ -186,8 +186,8 @@
     void aFailureByZoneIsNeverARefusal() {
         Bench b = new Bench().list(1, 10);
         b.take(1, BY_ZONE, 1);
-        b.onSend = s -> b.endLater(s, Outcome.ERROR, 5);
-        b.end(1, 0, Outcome.ERROR);
+        b.onSend = s -> b.endLater(s, AttemptOutcome.ERROR, 5);
+        b.end(1, 0, AttemptOutcome.ERROR);
         b.until(16_100);
         assertEquals(List.of("fail 1"), b.answers);
     }
@@ -196,11 +196,11 @@
     void nothingNewGoesToADrainingOrGoneEndpoint() {
         Bench b = new Bench().list(1, 10);
         b.take(1, SAFE, 1);
-        b.end(1, 0, Outcome.ERROR);
+        b.end(1, 0, AttemptOutcome.ERROR);
         b.entry(10, 1, 0, 0, false);
         b.until(5000);
         assertEquals(1, b.sends.size());
-        b.relay.endpoints(b.now, true, List.of());
+        b.policy.endpointsChanged(b.now, true, List.of());
         b.take(2, SAFE, 1);
         b.until(6000);
         assertEquals(1, b.sends.size());
@@ -210,7 +210,7 @@
     void aToldWaitStopsEverySendThere() {
         Bench b = new Bench().list(1, 10, 11);
         b.take(1, SAFE, 1);
-        b.end(1, 0, Outcome.FULL, 700);
+        b.end(1, 0, AttemptOutcome.FULL, 700);
         b.take(2, UNSAFE, 1);
         b.take(3, KEYED, 1);
         b.until(700);
@@ -224,8 +224,8 @@
     void eachMessageOfACallMayBeToldItsOwnWait() {
         Bench b = new Bench().entry(10, 1, 1, 0, true);
         b.takeTogether(2, SAFE, 1);
-        b.end(1, 0, Outcome.FULL, 0);
-        b.end(2, 0, Outcome.FULL, 3000);
+        b.end(1, 0, AttemptOutcome.FULL, 0);
+        b.end(2, 0, AttemptOutcome.FULL, 3000);
         b.until(3000);
         assertEquals(2, b.sends.size());
     }
@@ -234,7 +234,7 @@
     void aToldWaitBindsOneRouteWhereRoutesAreSeparate() {
         Bench b = new Bench().entry(10, 1, 2, 0, true).entry(11, 1, 2, 0, true);
         b.take(1, SAFE, 1);
-        b.end(1, 0, Outcome.FULL, 5000);
+        b.end(1, 0, AttemptOutcome.FULL, 5000);
         b.until(900);
         assertEquals(2, b.sends.size());
         assertFalse(b.sends.get(0).endpoint() == b.sends.get(1).endpoint());
@@ -247,7 +247,7 @@
         b.take(2, UNSAFE, 1, "k");
         b.take(3, UNSAFE, 1, "other");
         assertEquals(List.of(1L, 3L), b.sent());
-        b.end(1, 0, Outcome.TIMED_OUT);
+        b.end(1, 0, AttemptOutcome.TIMED_OUT);
         b.until(490);
         assertEquals(List.of(1L, 3L), b.sent());
         b.until(600);
@@ -259,10 +259,10 @@
         Bench b = new Bench().list(1, 10, 11);
         b.take(1, UNSAFE, 1, "k");
         b.take(2, UNSAFE, 1, "k");
-        b.relay.withdrawn(b.now, 1);
+        b.policy.messageWithdrawn(b.now, 1);
         b.until(300);
         assertEquals(List.of(1L), b.sent());
-        b.end(1, 0, Outcome.DELIVERED);
+        b.end(1, 0, AttemptOutcome.DELIVERED);
         assertEquals(List.of(1L, 2L), b.sent());
     }
 
@@ -271,7 +271,7 @@
     @Test
     void aRefusalPacesTheDestinationAndDeliveriesQuickenIt() {
         Bench b = new Bench(100).list(1, 10);
-        b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 5);
+        b.onSend = s -> b.endLater(s, AttemptOutcome.DELIVERED, 5);
         for (int i = 0; i < 8; i++) {
             b.take(i, SAFE, 1);
         }
@@ -279,8 +279,8 @@
         assertEquals(8, b.sends.size(), "no pace before the first refusal");
         b.onSend = s -> { };
         b.take(50, SAFE, 1);
-        b.end(50, 0, Outcome.FULL);
-        b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 5);
+        b.end(50, 0, AttemptOutcome.FULL);
+        b.onSend = s -> b.endLater(s, AttemptOutcome.DELIVERED, 5);
         for (int i = 100; i < 160; i++) {
             b.take(i, SAFE, 1);
         }
@@ -313,18 +313,18 @@
         b.until(1500);
         b.take(3, UNSAFE, 1);
         assertEquals(2, b.sends.size(), "silent: no backlog");
-        b.end(1, 0, Outcome.DELIVERED);
+        b.end(1, 0, AttemptOutcome.DELIVERED);
         assertEquals(3, b.sends.size());
     }
 
     @Test
     void aReturningDestinationIsNotPushedOver() {
         Bench b = new Bench(100).list(1, 10);
-        b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 20);
+        b.onSend = s -> b.endLater(s, AttemptOutcome.DELIVERED, 20);
         b.takeEvery(100, SAFE, 1, 20_000);
-        b.onSend = s -> b.endLater(s, Outcome.UNREACHABLE, 20);
+        b.onSend = s -> b.endLater(s, AttemptOutcome.UNREACHABLE, 20);
         b.takeEvery(100, SAFE, 1, 30_000);
-        b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 20);
+        b.onSend = s -> b.endLater(s, AttemptOutcome.DELIVERED, 20);
         b.takeEvery(100, SAFE, 1, 45_000);
         for (double from = 30_000; from + 1500 <= 42_000; from += 250) {
             double end = from + 1500;
@@ -338,7 +338,7 @@
     @Test
     void aLostCallNowAndThenDoesNotHoldBackAnEndpoint() {
         Bench b = new Bench(100).list(1, 10);
-        b.onSend = s -> b.endLater(s, b.sends.size() % 4 == 0 ? Outcome.BROKEN : Outcome.DELIVERED, 20);
+        b.onSend = s -> b.endLater(s, b.sends.size() % 4 == 0 ? AttemptOutcome.BROKEN : AttemptOutcome.DELIVERED, 20);
         b.takeEvery(200, SAFE, 1, 30_000);
         long last = b.sends.stream().filter(s -> s.at() > 20_000).count();
         assertTrue(last >= 50, "sends in the last ten seconds: " + last);
@@ -350,8 +350,8 @@
     @Test
     void anEndpointThatIsDownIsTriedAlsoBesideAHealthyOne() {
         Bench b = new Bench(100).list(1, 10, 11);
-        b.onSend = s -> b.endLater(s, s.endpoint() == 10 && b.now < 5000 ? Outcome.UNREACHABLE
-                : Outcome.DELIVERED, 20);
+        b.onSend = s -> b.endLater(s, s.endpoint() == 10 && b.now < 5000 ? AttemptOutcome.UNREACHABLE
+                : AttemptOutcome.DELIVERED, 20);
         b.takeEvery(100, SAFE, 1, 40_000);
         assertTrue(b.sends.stream().filter(s -> s.endpoint() == 10 && s.at() > 30_000).count() > 10);
     }
@@ -365,7 +365,7 @@
         b.take(2, SAFE, 1);
         b.take(3, SAFE, 2);
         assertEquals(List.of(1L, 3L), b.sent());
-        b.end(1, 0, Outcome.DELIVERED);
+        b.end(1, 0, AttemptOutcome.DELIVERED);
         assertEquals(List.of(1L, 3L, 2L), b.sent());
     }
 
@@ -385,7 +385,7 @@
     void aQuickDestinationMayHoldAllSlotsButOneUntilACallIsOutOfPatience() {
         Bench b = new Bench(10).list(1, 10).list(2, 20);
         b.take(0, SAFE, 1);
-        b.end(0, 0, Outcome.DELIVERED);
+        b.end(0, 0, AttemptOutcome.DELIVERED);
         for (long id = 1; id <= 20; id++) {
             b.take(id, SAFE, 1);
         }
@@ -393,11 +393,11 @@
         b.take(50, SAFE, 2);
         assertEquals(1 + 10, b.sends.size(), "one is left for others");
         b.until(700);
-        b.end(50, 0, Outcome.DELIVERED);
-        b.end(1, 0, Outcome.DELIVERED);
+        b.end(50, 0, AttemptOutcome.DELIVERED);
+        b.end(1, 0, AttemptOutcome.DELIVERED);
         assertEquals(1 + 11, b.sends.size());
         b.until(900);
-        b.end(2, 0, Outcome.DELIVERED);
+        b.end(2, 0, AttemptOutcome.DELIVERED);
         assertEquals(1 + 11, b.sends.size(), "those that are out may be silent");
     }
 
@@ -407,12 +407,12 @@
         Bench b = new Bench(100);
         b.listedRate = 40;
         b.list(1, 10);
-        b.relay.recalled(b.now, 10, new Relay.Health(Relay.State.DOWN, 0, 0));
-        b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 20);
+        b.policy.healthRestored(b.now, 10, new DeliveryPolicy.Health(DeliveryPolicy.State.DOWN, 0, 0));
+        b.onSend = s -> b.endLater(s, AttemptOutcome.DELIVERED, 20);
         for (long id = 1; id <= 100; id++) {
             b.resumeInTurn(id, SAFE, 1, 12_000, List.of());
         }
-        b.relay.endTurn(b.now);
+        b.policy.endIteration(b.now);
         b.until(6000);
         assertTrue(b.sends.size() >= 15 && b.sends.size() <= 40, "sent in 6 s: " + b.sends.size());
     }
@@ -424,7 +424,7 @@
     @Test
     void anOutageAtTheStartIsRampedOnTheMessagesTaken() {
         Bench b = new Bench(100).list(1, 10);
-        b.onSend = s -> b.endLater(s, b.now < 6000 ? Outcome.UNREACHABLE : Outcome.DELIVERED, 20);
+        b.onSend = s -> b.endLater(s, b.now < 6000 ? AttemptOutcome.UNREACHABLE : AttemptOutcome.DELIVERED, 20);
         b.takeEvery(200, SAFE, 1, 14_000);
         long sent = b.sends.stream().filter(s -> s.at() > 8000).count();
         assertTrue(sent >= 10, "sent in six seconds: " + sent);
@@ -440,7 +440,7 @@
             room[1] = b.now;
             boolean taken = room[0] >= 1;
             room[0] -= taken ? 1 : 0;
-            b.at(b.now + 20, () -> b.end(s.message(), s.attempt(), taken ? Outcome.DELIVERED : Outcome.FULL,
+            b.at(b.now + 20, () -> b.end(s.message(), s.attempt(), taken ? AttemptOutcome.DELIVERED : AttemptOutcome.FULL,
                     taken ? 0 : 2000));
         };
         b.takeEvery(125, SAFE, 1, 60_000);
@@ -454,8 +454,8 @@
         Bench b = new Bench(100, 8);
         b.listedRate = 16;
         b.list(1, 10);
-        b.onSend = s -> b.endLater(s, b.now < 8000 && b.sends.size() % 3 > 0 ? Outcome.FULL
-                : Outcome.DELIVERED, 20);
+        b.onSend = s -> b.endLater(s, b.now < 8000 && b.sends.size() % 3 > 0 ? AttemptOutcome.FULL
+                : AttemptOutcome.DELIVERED, 20);
         b.takeEvery(400, SAFE, 1, 40_000);
         long late = b.sends.stream().filter(s -> s.at() > 20_000 && s.at() < 30_000).count();
         assertTrue(late >= 22, "sent in ten seconds: " + late);
@@ -465,7 +465,7 @@
     @Test
     void theFloorOfThePaceFollowsTheSendersOwnPartOfTheLoad() {
         Bench b = new Bench(100, 11).list(1, 10);
-        b.onSend = s -> b.endLater(s, Outcome.FULL, 5);
+        b.onSend = s -> b.endLater(s, AttemptOutcome.FULL, 5);
         b.takeEvery(500, SAFE, 1, 10_000);
         long sent = b.sends.stream().filter(s -> s.at() > 2000).count();
         assertTrue(sent <= 8, "sent in eight seconds: " + sent);
@@ -477,7 +477,7 @@
         Bench b = new Bench(100, 2);
         b.listedRate = 8;
         b.list(1, 10);
-        b.onSend = s -> b.endLater(s, b.sends.size() % 3 > 0 ? Outcome.FULL : Outcome.DELIVERED, 20);
+        b.onSend = s -> b.endLater(s, b.sends.size() % 3 > 0 ? AttemptOutcome.FULL : AttemptOutcome.DELIVERED, 20);
         b.takeEvery(500, SAFE, 1, 20_000);
         long sent = b.sends.stream().filter(s -> s.at() > 5000 && s.at() < 15_000).count();
         assertTrue(sent >= 15, "sent in ten seconds: " + sent);
@@ -498,10 +498,10 @@
         Bench b = new Bench(100, 2).list(1, 10);
         b.toldRate = told;
         b.take(0, SAFE, 1);
-        b.end(0, 0, Outcome.DELIVERED);
+        b.end(0, 0, AttemptOutcome.DELIVERED);
         b.take(1, SAFE, 1);
         b.toldRate = last;
-        b.end(1, 0, Outcome.FULL);
+        b.end(1, 0, AttemptOutcome.FULL);
         for (int i = 2; i < 60; i++) {
             b.take(i, SAFE, 1);
         }
@@ -519,14 +519,14 @@
             for (int d = 1; d <= 5; d++) {
                 b.list(d, 10 * d);
             }
-            b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 20);
+            b.onSend = s -> b.endLater(s, AttemptOutcome.DELIVERED, 20);
             for (int i = 0; i < 100; i++) {
                 b.take(i, SAFE, 1 + i % 5);
                 b.until(b.now + 25);
             }
             b.onSend = s -> {
                 if (s.endpoint() == 50) {
-                    b.endLater(s, Outcome.DELIVERED, 20);
+                    b.endLater(s, AttemptOutcome.DELIVERED, 20);
                 }
             };
             for (int i = 100; i < 104; i++) {
@@ -543,14 +543,14 @@
     /** Found on the long day: one reset connection put an endpoint through a ramp of twelve seconds. */
     @Test
     void oneLostConnectionIsNoOutage() {
-        for (Outcome lost : List.of(Outcome.UNREACHABLE, Outcome.ERROR)) {
+        for (AttemptOutcome lost : List.of(AttemptOutcome.UNREACHABLE, AttemptOutcome.ERROR)) {
             Bench b = new Bench(100, 2).list(1, 10);
-            b.onSend = s -> b.endLater(s, s.at() > 4000 && s.at() < 4100 ? lost : Outcome.DELIVERED, 20);
+            b.onSend = s -> b.endLater(s, s.at() > 4000 && s.at() < 4100 ? lost : AttemptOutcome.DELIVERED, 20);
             b.takeEvery(10, SAFE, 1, 5000);
             int before = b.sends.size();
             b.takeEvery(10, SAFE, 1, 6000);
             int sent = b.sends.size() - before;
-            assertEquals(lost == Outcome.UNREACHABLE, sent > 80, lost + ": sent in a second: " + sent);
+            assertEquals(lost == AttemptOutcome.UNREACHABLE, sent > 80, lost + ": sent in a second: " + sent);
         }
     }
 
@@ -566,14 +566,14 @@
     /** One endpoint serves after so many others have come and gone; it is new, fails at first, and warms up. */
     private static int sentInARamp(int others) {
         Bench b = new Bench(100, 2);
-        b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 20);
+        b.onSend = s -> b.endLater(s, AttemptOutcome.DELIVERED, 20);
         for (int i = 0; i < others; i++) {
             b.list(1, 100 + i);
             b.takeEvery(50, SAFE, 1, b.now + 40_000.0 / others);
             b.gone(100 + i, 1);
         }
         b.list(1, 10);
-        b.onSend = s -> b.endLater(s, s.at() < 43_000 ? Outcome.UNREACHABLE : Outcome.DELIVERED, 20);
+        b.onSend = s -> b.endLater(s, s.at() < 43_000 ? AttemptOutcome.UNREACHABLE : AttemptOutcome.DELIVERED, 20);
         b.takeEvery(50, SAFE, 1, 44_000);
         int before = b.sends.size();
         b.takeEvery(50, SAFE, 1, 54_000);
@@ -587,7 +587,7 @@
         b.gone(10, 1);
         b.until(40_000);
         b.list(2, 20);
-        b.resume(1, SAFE, 1, 10_000, List.of(new Relay.EarlierAttempt(10, 39_000, false)));
+        b.resume(1, SAFE, 1, 10_000, List.of(new DeliveryPolicy.PreviousAttempt(10, 39_000, false)));
         b.until(41_000);
         assertTrue(b.answers.isEmpty(), b.answers.toString());
         b.list(1, 11);
@@ -599,7 +599,7 @@
     @Test
     void aSmallSendersRefusedMessageGoesAgainWithinASecond() {
         Bench b = new Bench(3, 200).list(1, 10);
-        b.onSend = s -> b.endLater(s, s.attempt() == 0 ? Outcome.FULL : Outcome.DELIVERED, 5);
+        b.onSend = s -> b.endLater(s, s.attempt() == 0 ? AttemptOutcome.FULL : AttemptOutcome.DELIVERED, 5);
         for (int id = 1; id <= 3; id++) {
             b.take(id, SAFE, 1);
             b.until(id * 15_000 + 1000);
@@ -615,7 +615,7 @@
         for (int seed = 0; seed < 40; seed++) {
             Bench b = new Bench(3, 200, seed).list(1, 10);
             b.take(1, SAFE, 1);
-            b.end(1, 0, Outcome.FULL, 8000);
+            b.end(1, 0, AttemptOutcome.FULL, 8000);
             b.until(9000);
             early += b.sends.size() - 1;
         }
@@ -626,7 +626,7 @@
     @Test
     void refusalsAndLostCallsTogetherTakeAnEndpointDown() {
         Bench b = new Bench(3, 200).list(1, 10);
-        b.onSend = s -> b.endLater(s, b.sends.size() % 3 > 0 ? Outcome.FULL : Outcome.ERROR, 300);
+        b.onSend = s -> b.endLater(s, b.sends.size() % 3 > 0 ? AttemptOutcome.FULL : AttemptOutcome.ERROR, 300);
         b.takeEvery(2000, SAFE, 1, 20_000);
         long late = b.sends.stream().filter(s -> s.at() > 6000).count();
         assertTrue(late <= 2, "sent to an endpoint that never delivers: " + late);
@@ -639,7 +639,7 @@
         for (long destination = 0; destination < 100; destination++) {
             b.list(destination, destination);
         }
-        b.onSend = s -> b.endLater(s, Outcome.FULL, 5);
+        b.onSend = s -> b.endLater(s, AttemptOutcome.FULL, 5);
         for (long id = 0; id < 100; id++) {
             b.take(id, SAFE, id);
             b.until(b.now + 100);
@@ -667,10 +667,10 @@
     void anEndpointWhoseLastEndWasFruitlessYieldsToItsSibling() {
         Bench b = new Bench().entry(10, 1, 2, 0, true).entry(11, 1, 2, 1, true);
         b.take(1, UNSAFE, 1);
-        b.end(1, 0, Outcome.DELIVERED);
+        b.end(1, 0, AttemptOutcome.DELIVERED);
         b.take(2, UNSAFE, 1);
         assertEquals(10, b.sends.get(1).endpoint());
-        b.end(2, 0, Outcome.FULL);
+        b.end(2, 0, AttemptOutcome.FULL);
         b.until(2000);
         b.take(3, UNSAFE, 1);
         assertEquals(List.of(11L, 11L), b.sends.stream().skip(2).map(Bench.Sent::endpoint).toList());
@@ -682,12 +682,12 @@
         Bench b = new Bench().list(1, 10).list(2, 20).list(3, 30);
         for (long id = 1; id <= 3; id++) {
             b.take(id, UNSAFE, id);
-            b.end(id, 0, Outcome.DELIVERED);
+            b.end(id, 0, AttemptOutcome.DELIVERED);
         }
         b.until(4000);
         for (long id = 4; id <= 5; id++) {
             b.take(id, UNSAFE, id - 3);
-            b.end(id, 0, Outcome.BROKEN);
+            b.end(id, 0, AttemptOutcome.BROKEN);
             assertTrue(b.closes.isEmpty());
         }
         b.take(6, UNSAFE, 3);
@@ -708,13 +708,13 @@
     void misuseThrowsAndLateEventsAreIgnored() {
         Bench b = new Bench().list(1, 10);
         b.take(1, SAFE, 1);
-        assertThrows(IllegalArgumentException.class, () -> b.end(7, 0, Outcome.DELIVERED));
-        assertThrows(IllegalArgumentException.class, () -> b.end(1, 3, Outcome.DELIVERED));
+        assertThrows(IllegalArgumentException.class, () -> b.end(7, 0, AttemptOutcome.DELIVERED));
+        assertThrows(IllegalArgumentException.class, () -> b.end(1, 3, AttemptOutcome.DELIVERED));
         assertThrows(IllegalArgumentException.class, () -> b.take(1, SAFE, 1));
         assertThrows(IllegalArgumentException.class, () -> b.take(2, 17, 1));
-        assertThrows(IllegalArgumentException.class, () -> b.relay.wake(b.now - 1));
-        b.relay.withdrawn(b.now, 99);
-        b.relay.wake(b.now);
+        assertThrows(IllegalArgumentException.class, () -> b.policy.wake(b.now - 1));
+        b.policy.messageWithdrawn(b.now, 99);
+        b.policy.wake(b.now);
     }
 
     // ---- a random sequence against all rules ----
@@ -741,10 +741,10 @@
             for (int d = 0; d < 4; d++) {
                 b.entry(10 * d, d, d % 3, 0, true).entry(10 * d + 1, d, d % 3, 1, true);
             }
-            Outcome[] outcomes = Outcome.values();
+            AttemptOutcome[] outcomes = AttemptOutcome.values();
             b.onSend = s -> {
-                Outcome outcome = random.nextInt(3) > 0 ? Outcome.DELIVERED : outcomes[random.nextInt(6)];
-                double took = outcome == Outcome.TIMED_OUT ? s.timeout() : Math.min(s.timeout(),
+                AttemptOutcome outcome = random.nextInt(3) > 0 ? AttemptOutcome.DELIVERED : outcomes[random.nextInt(6)];
+                double took = outcome == AttemptOutcome.TIMED_OUT ? s.timeout() : Math.min(s.timeout(),
                         random.nextInt(1500));
                 b.endLater(s, outcome, took);
             };
@@ -767,22 +767,22 @@
 
     // ---- across lives ----
 
-    private static Bench resumed(int type, double leftMs, Relay.EarlierAttempt... earlier) {
+    private static Bench resumed(int type, double leftMs, DeliveryPolicy.PreviousAttempt... earlier) {
         Bench b = new Bench().list(1, 10, 11);
         b.until(20_000);
         b.resume(1, type, 1, leftMs, List.of(earlier));
         return b;
     }
 
-    private static Relay.EarlierAttempt earlier(double agoMs, boolean mayHaveRun) {
-        return new Relay.EarlierAttempt(10, 20_000 - agoMs, mayHaveRun);
+    private static DeliveryPolicy.PreviousAttempt earlier(double agoMs, boolean mayHaveRun) {
+        return new DeliveryPolicy.PreviousAttempt(10, 20_000 - agoMs, mayHaveRun);
     }
 
     @Test
     void anEarlierLifesAttemptHoldsNoSlotAndIsNumberedOnFrom() {
         Bench b = resumed(SAFE, 9000, earlier(500, true), earlier(100, false));
         assertEquals(List.of(1L), b.sent());
-        b.end(1, 2, Outcome.DELIVERED);
+        b.end(1, 2, AttemptOutcome.DELIVERED);
         assertTrue(b.answers.isEmpty());
         for (long id = 2; id <= 6; id++) {
             b.take(id, SAFE, 1);
@@ -807,7 +807,7 @@
     void aKeyedMessageThatMayHaveRunIsNotRefused() {
         Bench b = new Bench().list(1, 10);
         b.take(1, KEYED, 1);
-        b.end(1, 0, Outcome.TIMED_OUT);
+        b.end(1, 0, AttemptOutcome.TIMED_OUT);
         b.entry(10, 1, 0, 0, false);
         b.take(2, KEYED, 1);
         b.until(16_000);
@@ -818,7 +818,7 @@
     void aKeyedMessageIsAnsweredWhenItsWindowHasPassed() {
         Bench b = new Bench().list(1, 10);
         b.take(1, KEYED, 1);
-        b.end(1, 0, Outcome.ERROR);
+        b.end(1, 0, AttemptOutcome.ERROR);
         b.entry(10, 1, 0, 0, false);
         b.until(3650);
         assertTrue(b.answers.isEmpty());
@@ -830,12 +830,12 @@
     void anOutageBeforeTheRestartGoesOnWithTrials() {
         Bench b = new Bench().list(1, 10);
         b.until(20_000);
-        b.relay.recalled(b.now, 10, new Relay.Health(Relay.State.DOWN, 15_000, 0));
+        b.policy.healthRestored(b.now, 10, new DeliveryPolicy.Health(DeliveryPolicy.State.DOWN, 15_000, 0));
         for (long id = 1; id <= 12; id++) {
             b.resumeInTurn(id, SAFE, 1, 9000, List.of(earlier(1000, false)));
         }
-        b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 100);
-        b.relay.endTurn(b.now);
+        b.onSend = s -> b.endLater(s, AttemptOutcome.DELIVERED, 100);
+        b.policy.endIteration(b.now);
         b.until(23_000);
         assertTrue(b.sends.size() >= 1 && b.sends.size() <= 6, "sent in 3 s: " + b.sends.size());
         b.until(29_100);
@@ -847,11 +847,11 @@
     void aLateBacklogAloneIsNoOutage() {
         Bench b = new Bench().list(1, 10);
         b.until(20_000);
-        b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 100);
+        b.onSend = s -> b.endLater(s, AttemptOutcome.DELIVERED, 100);
         for (long id = 1; id <= 12; id++) {
             b.resumeInTurn(id, SAFE, 1, 9000, id % 2 == 0 ? List.of() : List.of(earlier(1000, false)));
         }
-        b.relay.endTurn(b.now);
+        b.policy.endIteration(b.now);
         b.until(21_000);
         assertEquals(12, b.sends.size());
     }
@@ -861,13 +861,13 @@
         Bench b = new Bench().list(1, 10);
         b.until(20_000);
         // Known before any list names it.
-        b.relay.recalled(b.now, 20, new Relay.Health(Relay.State.WARMING, 11_000, 0.02));
+        b.policy.healthRestored(b.now, 20, new DeliveryPolicy.Health(DeliveryPolicy.State.WARMING, 11_000, 0.02));
         b.list(2, 20);
-        b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 20);
+        b.onSend = s -> b.endLater(s, AttemptOutcome.DELIVERED, 20);
         for (long id = 1; id <= 60; id++) {
             b.resumeInTurn(id, SAFE, 2, 9000, List.of());
         }
-        b.relay.endTurn(b.now);
+        b.policy.endIteration(b.now);
         b.until(21_000);
         assertTrue(b.sends.size() >= 15 && b.sends.size() <= 35, "sent in 1 s: " + b.sends.size());
         b.until(24_000);
@@ -878,24 +878,24 @@
     void whatALaterLifeMustKnowIsTold() {
         Bench b = new Bench().list(1, 10);
         b.take(1, SAFE, 1);
-        b.end(1, 0, Outcome.UNREACHABLE);
-        assertEquals(Relay.State.DOWN, b.health.get(10L).state());
-        b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 20);
+        b.end(1, 0, AttemptOutcome.UNREACHABLE);
+        assertEquals(DeliveryPolicy.State.DOWN, b.health.get(10L).state());
+        b.onSend = s -> b.endLater(s, AttemptOutcome.DELIVERED, 20);
         b.until(5000);
-        assertEquals(Relay.State.WARMING, b.health.get(10L).state());
+        assertEquals(DeliveryPolicy.State.WARMING, b.health.get(10L).state());
         double since = b.health.get(10L).since();
         assertTrue(since > 0 && since < 5000);
         b.until(15_000);
         b.take(2, SAFE, 1);
         b.until(15_100);
-        assertEquals(Relay.State.UP, b.health.get(10L).state());
+        assertEquals(DeliveryPolicy.State.UP, b.health.get(10L).state());
     }
 
     @Test
     void aRefusalTellsWhenTheDestinationOpensAgain() {
         Bench b = new Bench().list(1, 10).list(2, 20);
         b.take(1, SAFE, 1);
-        b.end(1, 0, Outcome.FULL, 5000);
+        b.end(1, 0, AttemptOutcome.FULL, 5000);
         b.resume(2, SAFE, 1, -1, List.of());
         b.resume(3, SAFE, 2, -1, List.of());
         assertEquals(List.of("refuse 2", "refuse 3"), b.answers);
@@ -907,9 +907,9 @@
     void aZonesRepeatsStayInTheZoneAcrossLives() {
         Bench b = new Bench().entry(10, 1, 0, 0, true).entry(11, 1, 0, 1, true);
         b.until(20_000);
-        b.resume(1, BY_ZONE, 1, 9000, List.of(new Relay.EarlierAttempt(11, 19_900, true)));
+        b.resume(1, BY_ZONE, 1, 9000, List.of(new DeliveryPolicy.PreviousAttempt(11, 19_900, true)));
         assertEquals(11, b.sends.get(0).endpoint());
-        b.resume(2, BY_ZONE, 1, 9000, List.of(new Relay.EarlierAttempt(99, 19_900, true)));
+        b.resume(2, BY_ZONE, 1, 9000, List.of(new DeliveryPolicy.PreviousAttempt(99, 19_900, true)));
         assertEquals(List.of("fail 2"), b.answers, "an endpoint that has left is of no known zone");
     }
 
@@ -923,7 +923,7 @@
 
     @Test
     void attemptsOfAllLivesCountTogether() {
-        Relay.EarlierAttempt[] twelve = new Relay.EarlierAttempt[12];
+        DeliveryPolicy.PreviousAttempt[] twelve = new DeliveryPolicy.PreviousAttempt[12];
         java.util.Arrays.fill(twelve, earlier(100, false));
         Bench b = resumed(SAFE, 9000, twelve);
         assertTrue(b.sends.isEmpty());
@@ -951,16 +951,16 @@
     @Test
     void whatWasFoundUntriedGoesFirstUntilAnEndpointHasSeenIt() {
         Bench b = new Bench();
-        b.relay.recalled(b.now, 1, Relay.SHARED, new Relay.Pace(0.001, 0));
+        b.policy.sendRateRestored(b.now, 1, DeliveryPolicy.ALL_ROUTES, new DeliveryPolicy.SendRate(0.001, 0));
         b.list(1, 10);
-        b.resumeInTurn(9, SAFE, 1, 15_000, List.of(new Relay.EarlierAttempt(10, -500, false)));
+        b.resumeInTurn(9, SAFE, 1, 15_000, List.of(new DeliveryPolicy.PreviousAttempt(10, -500, false)));
         b.takeTogether(3, UNSAFE, 1);
         untilSent(b, 1);
         assertEquals(List.of(9L), b.sent(), "before what is fresh");
-        b.end(9, 1, Outcome.UNREACHABLE);
+        b.end(9, 1, AttemptOutcome.UNREACHABLE);
         untilSent(b, 2);
         assertEquals(List.of(9L, 9L), b.sent(), "still before it");
-        b.end(9, 2, Outcome.FULL);
+        b.end(9, 2, AttemptOutcome.FULL);
         untilSent(b, 3);
         assertNotEquals(9L, b.sent().get(2), "as any other from then on");
     }
@@ -974,7 +974,7 @@
     @Test
     void noCallStartsThatIsNotExpectedToEndBeforeTheClose() {
         Bench b = new Bench().list(1, 10, 11);
-        b.relay.closing(b.now, 3000);
+        b.policy.shutdownScheduled(b.now, 3000);
         b.take(1, SAFE, 1);
         assertEquals(List.of(1L), b.sent());
         b.take(2, UNSAFE, 1);
@@ -989,13 +989,13 @@
     @Test
     void twoFailuresInARowAtTwoEndpointsLeaveTheThirdToTrials() {
         Bench b = new Bench(100).list(1, 10, 11, 12);
-        b.onSend = s -> b.endLater(s, Outcome.ERROR, 20);
+        b.onSend = s -> b.endLater(s, AttemptOutcome.ERROR, 20);
         b.take(1, SAFE, 1);
         b.until(400);
         assertEquals(2, b.sends.size());
         assertNotEquals(b.sends.get(0).endpoint(), b.sends.get(1).endpoint());
         for (long endpoint = 10; endpoint <= 12; endpoint++) {
-            assertEquals(Relay.State.DOWN, b.health.get(endpoint).state(), "endpoint " + endpoint);
+            assertEquals(DeliveryPolicy.State.DOWN, b.health.get(endpoint).state(), "endpoint " + endpoint);
         }
     }
 
@@ -1006,9 +1006,9 @@
         for (long id = 1; id <= 8; id++) {
             b.resumeInTurn(id, SAFE, 1, 9000, List.of(earlier(1000, false)));
         }
-        b.relay.endTurn(b.now);
+        b.policy.endIteration(b.now);
         assertEquals(1, b.sends.size());
-        b.end(b.sends.get(0).message(), 1, Outcome.DELIVERED);
+        b.end(b.sends.get(0).message(), 1, AttemptOutcome.DELIVERED);
         b.until(20_001);
         assertEquals(8, b.sends.size());
     }
@@ -1017,23 +1017,23 @@
 
     @Test
     void theModuleStaysSmall() throws Exception {
-        List<String> lines = Files.readAllLines(Path.of("src/main/java/slipfield/policy/Logic.java"));
+        List<String> lines = Files.readAllLines(Path.of("src/main/java/slipfield/policy/WaveDeliveryPolicy.java"));
         assertTrue(lines.stream().filter(l -> !l.isBlank()).count() <= 1200);
         assertTrue(lines.stream().allMatch(l -> l.length() <= 110));
     }
 
-    static final List<Relay.MessageClass> CLASSES = List.of(
-            new Relay.MessageClass(2000, 16_000, 1, 0.5, Effect.SAFE, false, 0, false),
-            new Relay.MessageClass(2000, 16_000, 1, 0.5, Effect.KEYED, false, 4000, false),
-            new Relay.MessageClass(2000, 16_000, 4, 0.3, Effect.UNSAFE, false, 0, true),
-            new Relay.MessageClass(2000, 16_000, 1, 0.5, Effect.KEYED, true, 15_000, false));
+    static final List<DeliveryPolicy.MessageClass> CLASSES = List.of(
+            new DeliveryPolicy.MessageClass(2000, 16_000, 1, 0.5, RepeatSafety.SAFE, false, 0, false),
+            new DeliveryPolicy.MessageClass(2000, 16_000, 1, 0.5, RepeatSafety.KEYED, false, 4000, false),
+            new DeliveryPolicy.MessageClass(2000, 16_000, 4, 0.3, RepeatSafety.UNSAFE, false, 0, true),
+            new DeliveryPolicy.MessageClass(2000, 16_000, 1, 0.5, RepeatSafety.KEYED, true, 15_000, false));
 
     /** Kind 2 has separate routes, so its limit is that of one endpoint. */
     @Test
     void aRecalledPaceHoldsFromTheFirstSendOn() {
         for (boolean route : List.of(false, true)) {
             Bench b = new Bench();
-            b.relay.recalled(b.now, 1, route ? 10 : Relay.SHARED, new Relay.Pace(0.001, 0));
+            b.policy.sendRateRestored(b.now, 1, route ? 10 : DeliveryPolicy.ALL_ROUTES, new DeliveryPolicy.SendRate(0.001, 0));
             b.entry(10, 1, route ? 2 : 0, 0, true);
             b.takeTogether(6, SAFE, 1);
             b.until(900);
@@ -1051,13 +1051,13 @@
         Bench b = new Bench().list(1, 10);
         b.takeTogether(2, SAFE, 1);
         assertEquals(List.of(), b.paces);
-        b.end(1, 0, Outcome.FULL);
+        b.end(1, 0, AttemptOutcome.FULL);
         assertEquals(1, b.paces.size(), "a first refusal sets it");
         assertTrue(b.paces.get(0).perMs() < Double.POSITIVE_INFINITY);
-        b.end(2, 0, Outcome.DELIVERED);
+        b.end(2, 0, AttemptOutcome.DELIVERED);
         assertEquals(1, b.paces.size(), "a small step is not worth a record: " + b.paces);
         b.until(2000);
-        b.end(1, 1, Outcome.DELIVERED);
+        b.end(1, 1, AttemptOutcome.DELIVERED);
         b.until(90_000);
         b.take(9, SAFE, 1);
         b.until(100_000);
--- a/src/test/java/slipfield/transport/http/EndpointsTest.java
+++ b/src/test/java/slipfield/transport/http/EndpointsTest.java
@@ -23,15 +23,15 @@
 import org.junit.jupiter.api.Test;
 import slipfield.core.Transport;
 import slipfield.journal.Held;
-import slipfield.policy.Relay.Outcome;
-import slipfield.policy.Relay.Within;
+import slipfield.policy.DeliveryPolicy.AttemptOutcome;
+import slipfield.policy.DeliveryPolicy.AttemptTiming;
 import slipfield.standin.Stub;
 
 /** Each row of the protocol's table of outcomes, and the connections that calls go over. */
 class EndpointsTest {
     private static final double LONG_MS = 20_000;
 
-    private record End(Outcome outcome, boolean gone, double waitMs) {
+    private record End(AttemptOutcome outcome, boolean gone, double waitMs) {
     }
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -69,7 +69,7 @@
     }
 
     private Transport.Attempt start(Held held, double timeoutMs, long decidedAgoMs) throws Exception {
-        return loop.submit(() -> endpoints.attempt(held, 0, 1, new Within(timeoutMs, Double.POSITIVE_INFINITY),
+        return loop.submit(() -> endpoints.attempt(held, 0, 1, new AttemptTiming(timeoutMs, Double.POSITIVE_INFINITY),
                 System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(decidedAgoMs))).get();
     }
 
@@ -83,13 +83,13 @@
         return end();
     }
 
-    private void expect(Outcome outcome, Stub.Script script) throws Exception {
+    private void expect(AttemptOutcome outcome, Stub.Script script) throws Exception {
         assertEquals(new End(outcome, false, 0), call(script));
     }
 
     @Test
     void idKeyBodyAndBudgetGoOn() throws Exception {
-        expect(Outcome.DELIVERED, Stub.status(200, ""));
+        expect(AttemptOutcome.DELIVERED, Stub.status(200, ""));
         Stub.Message m = stub.requests.get(0);
         assertEquals("POST /v1/messages HTTP/1.1", m.line());
         assertEquals("id-1", m.header("X-Call-Id"));
@@ -113,16 +113,16 @@
     void aCallWhoseEndpointLeftTheListWhileItWasConnectedIsNotMade() throws Exception {
         Held held = new Held(1, "id-1", "order", "t", Optional.of("key-1"), 7, 0, new byte[0]);
         loop.submit(() -> {
-            endpoints.attempt(held, 0, 1, new Within(LONG_MS, LONG_MS), System.nanoTime());
+            endpoints.attempt(held, 0, 1, new AttemptTiming(LONG_MS, LONG_MS), System.nanoTime());
             endpoints.stop(1);
         }).get();
-        assertEquals(new End(Outcome.NOT_SENT, false, 0), end());
+        assertEquals(new End(AttemptOutcome.NOT_SENT, false, 0), end());
         loop.submit(() -> {
             endpoints.at(1, stub.address(), true);
-            endpoints.attempt(held, 0, 1, new Within(LONG_MS, LONG_MS), System.nanoTime());
+            endpoints.attempt(held, 0, 1, new AttemptTiming(LONG_MS, LONG_MS), System.nanoTime());
             endpoints.at(1, stub.address(), false);
         }).get();
-        assertEquals(new End(Outcome.NOT_SENT, false, 0), end());
+        assertEquals(new End(AttemptOutcome.NOT_SENT, false, 0), end());
         assertEquals(List.of(), stub.requests);
     }
 
@@ -134,30 +134,30 @@
     void aRepeatWhoseConnectionComesUpAfterItsWindowIsNotMade() throws Exception {
         Held held = new Held(1, "id-1", "order", "t", Optional.of("key-1"), 7, 0, new byte[0]);
         long decided = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(300);
-        loop.submit(() -> endpoints.attempt(held, 0, 1, new Within(LONG_MS, 250), decided)).get();
-        assertEquals(new End(Outcome.NOT_SENT, false, 0), end());
+        loop.submit(() -> endpoints.attempt(held, 0, 1, new AttemptTiming(LONG_MS, 250), decided)).get();
+        assertEquals(new End(AttemptOutcome.NOT_SENT, false, 0), end());
         assertEquals(List.of(), stub.requests);
-        expect(Outcome.DELIVERED, Stub.status(200, ""));
-        loop.submit(() -> endpoints.attempt(held, 0, 1, new Within(LONG_MS, 250), decided)).get();
-        assertEquals(new End(Outcome.NOT_SENT, false, 0), end());
+        expect(AttemptOutcome.DELIVERED, Stub.status(200, ""));
+        loop.submit(() -> endpoints.attempt(held, 0, 1, new AttemptTiming(LONG_MS, 250), decided)).get();
+        assertEquals(new End(AttemptOutcome.NOT_SENT, false, 0), end());
         assertEquals(1, stub.requests.size(), "nor on a connection that was kept");
     }
 
     @Test
     void statusesMeanWhatTheTableSays() throws Exception {
-        expect(Outcome.ERROR, Stub.status(500, ""));
-        assertEquals(new End(Outcome.FULL, false, 1250), call(Stub.status(429, "Retry-After: 1.25\r\n")));
-        expect(Outcome.FULL, Stub.status(503, ""));
-        expect(Outcome.NOT_SENT, Stub.status(503, "X-No-Slot: 1\r\n"));
-        expect(Outcome.NOT_SENT, Stub.status(504, ""));
-        assertEquals(new End(Outcome.NOT_SENT, true, 0), call(Stub.status(410, "")));
+        expect(AttemptOutcome.ERROR, Stub.status(500, ""));
+        assertEquals(new End(AttemptOutcome.FULL, false, 1250), call(Stub.status(429, "Retry-After: 1.25\r\n")));
+        expect(AttemptOutcome.FULL, Stub.status(503, ""));
+        expect(AttemptOutcome.NOT_SENT, Stub.status(503, "X-No-Slot: 1\r\n"));
+        expect(AttemptOutcome.NOT_SENT, Stub.status(504, ""));
+        assertEquals(new End(AttemptOutcome.NOT_SENT, true, 0), call(Stub.status(410, "")));
     }
 
     @Test
     void aConnectionThatBreaksAfterTheLastByteIsBroken() throws Exception {
-        expect(Outcome.BROKEN, (request, socket) -> socket.close());
-        expect(Outcome.BROKEN, (request, socket) -> socket.shutdownOutput());
-        expect(Outcome.BROKEN, (request, socket) -> Stub.write(socket, "not HTTP at all\r\n\r\n"));
+        expect(AttemptOutcome.BROKEN, (request, socket) -> socket.close());
+        expect(AttemptOutcome.BROKEN, (request, socket) -> socket.shutdownOutput());
+        expect(AttemptOutcome.BROKEN, (request, socket) -> Stub.write(socket, "not HTTP at all\r\n\r\n"));
         assertEquals(3, stub.requests.size(), "each was sent once");
     }
 
@@ -168,7 +168,7 @@
         unused.close();
         at(address);
         start(new byte[1], LONG_MS);
-        assertEquals(new End(Outcome.UNREACHABLE, false, 0), end());
+        assertEquals(new End(AttemptOutcome.UNREACHABLE, false, 0), end());
     }
 
     @Test
@@ -180,18 +180,18 @@
                 socket.getInputStream().read();
                 socket.setSoLinger(true, 0);
             }
-            assertEquals(new End(Outcome.UNREACHABLE, false, 0), end());
+            assertEquals(new End(AttemptOutcome.UNREACHABLE, false, 0), end());
         }
     }
 
     @Test
     void silenceIsATimeOutAndClosesTheConnection() throws Exception {
-        expect(Outcome.DELIVERED, Stub.status(200, ""));
+        expect(AttemptOutcome.DELIVERED, Stub.status(200, ""));
         awaitKept();
         stub.script(Stub.silent());
         start(new byte[1], 30);
-        assertEquals(new End(Outcome.TIMED_OUT, false, 0), end());
-        expect(Outcome.DELIVERED, Stub.status(200, ""));
+        assertEquals(new End(AttemptOutcome.TIMED_OUT, false, 0), end());
+        expect(AttemptOutcome.DELIVERED, Stub.status(200, ""));
         assertEquals(1, stub.requests.get(stub.requests.size() - 1).connection(), "a late answer must not meet the next call");
     }
 
@@ -201,8 +201,8 @@
         Transport.Attempt call = start(new byte[1], LONG_MS);
         Stub.await("the call arrives", () -> !stub.requests.isEmpty());
         loop.submit(() -> call.cancel()).syncUninterruptibly();
-        assertEquals(new End(Outcome.CANCELLED, false, 0), end());
-        expect(Outcome.DELIVERED, Stub.status(200, ""));
+        assertEquals(new End(AttemptOutcome.CANCELLED, false, 0), end());
+        expect(AttemptOutcome.DELIVERED, Stub.status(200, ""));
         assertEquals(1, stub.requests.get(1).connection());
     }
 
@@ -210,15 +210,15 @@
     @Test
     void aCallThatIsCancelledBeforeItsConnectionIsUpNeverRan() throws Exception {
         Held held = new Held(1, "id-1", "order", "t", Optional.of("key-1"), 7, 0, new byte[0]);
-        loop.submit(() -> endpoints.attempt(held, 0, 1, new Within(LONG_MS, LONG_MS), System.nanoTime()).cancel()).get();
-        assertEquals(new End(Outcome.NOT_SENT, false, 0), end());
-        expect(Outcome.DELIVERED, Stub.status(200, ""));
+        loop.submit(() -> endpoints.attempt(held, 0, 1, new AttemptTiming(LONG_MS, LONG_MS), System.nanoTime()).cancel()).get();
+        assertEquals(new End(AttemptOutcome.NOT_SENT, false, 0), end());
+        expect(AttemptOutcome.DELIVERED, Stub.status(200, ""));
         assertEquals(1, stub.requests.size());
     }
 
     @Test
     void aConnectionIsKeptForTheNextCallAfterAnyWholeAnswer() throws Exception {
-        expect(Outcome.DELIVERED, (request, socket) -> {
+        expect(AttemptOutcome.DELIVERED, (request, socket) -> {
             for (char c : "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                     .toCharArray()) {
                 Stub.write(socket, String.valueOf(c));
@@ -226,28 +226,28 @@
             Stub.write(socket, "3\r\nabc\r\n0\r\n\r\n");
         });
         awaitKept();
-        expect(Outcome.ERROR, Stub.status(500, ""));
+        expect(AttemptOutcome.ERROR, Stub.status(500, ""));
         awaitKept();
-        expect(Outcome.DELIVERED, Stub.status(200, ""));
+        expect(AttemptOutcome.DELIVERED, Stub.status(200, ""));
         assertEquals(0, stub.requests.get(2).connection());
     }
 
     @Test
     void aConnectionThatTheEndpointClosedIsNotUsedAgain() throws Exception {
-        expect(Outcome.DELIVERED, (request, socket) -> {
+        expect(AttemptOutcome.DELIVERED, (request, socket) -> {
             Stub.status(200, "").come(request, socket);
             socket.close();
         });
         Stub.await("the close is noticed", () -> kept() == 0);
-        expect(Outcome.DELIVERED, Stub.status(200, ""));
-        expect(Outcome.DELIVERED, Stub.status(200, "Connection: close\r\n"));
+        expect(AttemptOutcome.DELIVERED, Stub.status(200, ""));
+        expect(AttemptOutcome.DELIVERED, Stub.status(200, "Connection: close\r\n"));
         Stub.await("the announced close is kept", () -> kept() == 0);
-        expect(Outcome.DELIVERED, Stub.status(200, ""));
+        expect(AttemptOutcome.DELIVERED, Stub.status(200, ""));
     }
 
     @Test
     void aDrainingOrMovedEndpointsIdleConnectionsAreClosed() throws Exception {
-        expect(Outcome.DELIVERED, Stub.status(200, ""));
+        expect(AttemptOutcome.DELIVERED, Stub.status(200, ""));
         awaitKept();
         loop.submit(() -> endpoints.at(1, stub.address(), false)).syncUninterruptibly();
         assertEquals(0, kept());
@@ -275,7 +275,7 @@
         for (String answer : spoilt) {
             stub.script(raw(answer));
             start(new byte[1], 600_000);
-            assertEquals(new End(Outcome.BROKEN, false, 0), end(), answer);
+            assertEquals(new End(AttemptOutcome.BROKEN, false, 0), end(), answer);
         }
         assertEquals(spoilt.size(), stub.requests.stream().map(Stub.Message::connection).distinct().count(),
                 "no connection is used again");
@@ -289,7 +289,7 @@
             int before = stub.ended();
             stub.script(raw("HTTP/1.1 200 OK\r\n" + rest));
             start(new byte[1], 600_000);
-            assertEquals(new End(Outcome.DELIVERED, false, 0), end(), rest);
+            assertEquals(new End(AttemptOutcome.DELIVERED, false, 0), end(), rest);
             Stub.await("the connection is closed", () -> stub.ended() == before + 1);
         }
     }
@@ -304,10 +304,10 @@
                 Stub.write(socket, behind);
             });
             start(new byte[1], LONG_MS);
-            assertEquals(new End(Outcome.DELIVERED, false, 0), end());
+            assertEquals(new End(AttemptOutcome.DELIVERED, false, 0), end());
             stub.script(Stub.status(500, ""));
             start(new byte[1], LONG_MS);
-            assertEquals(new End(Outcome.ERROR, false, 0), end(), "the next call's own answer");
+            assertEquals(new End(AttemptOutcome.ERROR, false, 0), end(), "the next call's own answer");
             Stub.await("the connection is closed", () -> stub.ended() > before);
         }
     }
@@ -324,7 +324,7 @@
         // Longer than a whole answer may take.
         assertNull(ends.poll(1500, TimeUnit.MILLISECONDS));
         go.countDown();
-        assertEquals(new End(Outcome.FULL, false, 500), end());
+        assertEquals(new End(AttemptOutcome.FULL, false, 500), end());
     }
 
     @Test
@@ -342,10 +342,10 @@
     @Test
     void aToldWaitIsANumberWithinBounds() throws Exception {
         for (String none : List.of("NaN", "-Infinity", "-5", "soon")) {
-            assertEquals(new End(Outcome.FULL, false, 0), call(Stub.status(429, "Retry-After: " + none + "\r\n")));
+            assertEquals(new End(AttemptOutcome.FULL, false, 0), call(Stub.status(429, "Retry-After: " + none + "\r\n")));
         }
         for (String most : List.of("Infinity", "1e300", "99999999")) {
-            assertEquals(new End(Outcome.FULL, false, 60_000),
+            assertEquals(new End(AttemptOutcome.FULL, false, 60_000),
                     call(Stub.status(429, "Retry-After: " + most + "\r\n")));
         }
     }
@@ -354,25 +354,26 @@
     @Test
     void aToldWaitIsHeardThoughItsAnswerIsSpoilt() throws Exception {
         String head = "HTTP/1.1 429 x\r\nRetry-After: 2\r\nContent-Length: 500\r\n\r\n";
-        assertEquals(new End(Outcome.BROKEN, false, 2000), call((m, socket) -> {
+        assertEquals(new End(AttemptOutcome.BROKEN, false, 2000), call((m, socket) -> {
             Stub.write(socket, head + "cut");
             socket.close();
         }));
-        assertEquals(new End(Outcome.BROKEN, false, 2000), call((m, socket) -> Stub.write(socket, head + "it goes no further")));
+        assertEquals(new End(AttemptOutcome.BROKEN, false, 2000), call((m, socket) -> Stub.write(socket,
+                head + "it goes no further")));
     }
 
     @Test
     void aCallThatCantBeWrittenHasAnEnd() throws Exception {
         Held held = new Held(1, "no\r\nheader", "order", "t", Optional.empty(), 7, 0, new byte[1]);
         start(held, 600_000, 0);
-        assertEquals(new End(Outcome.UNREACHABLE, false, 0), end());
+        assertEquals(new End(AttemptOutcome.UNREACHABLE, false, 0), end());
         assertTrue(stub.requests.isEmpty());
     }
 
     @Test
     void anEndpointThatIsForgottenLeavesNothingBehind() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        expect(Outcome.DELIVERED, Stub.status(200, ""));
+        expect(AttemptOutcome.DELIVERED, Stub.status(200, ""));
         awaitKept();
         stub.script((request, socket) -> {
             go.await();
@@ -383,8 +384,8 @@
         Stub.await("the calls are out", () -> stub.requests.size() == 3);
         loop.submit(() -> endpoints.forget(1)).syncUninterruptibly();
         go.countDown();
-        assertEquals(new End(Outcome.DELIVERED, false, 0), end(), "a call that is out still ends");
-        assertEquals(new End(Outcome.DELIVERED, false, 0), end());
+        assertEquals(new End(AttemptOutcome.DELIVERED, false, 0), end(), "a call that is out still ends");
+        assertEquals(new End(AttemptOutcome.DELIVERED, false, 0), end());
         Stub.await("its connections are closed", () -> stub.ended() == 2);
         assertEquals(0, kept());
         assertEquals(0, loop.submit(() -> endpoints.known()).get());
@@ -402,10 +403,10 @@
         try (Stub moved = new Stub(Stub.status(500, ""))) {
             at(moved.address());
             go.countDown();
-            assertEquals(new End(Outcome.DELIVERED, false, 0), end());
+            assertEquals(new End(AttemptOutcome.DELIVERED, false, 0), end());
             Stub.await("the old connection is closed", () -> stub.ended() == 1);
             start(new byte[1], LONG_MS);
-            assertEquals(new End(Outcome.ERROR, false, 0), end());
+            assertEquals(new End(AttemptOutcome.ERROR, false, 0), end());
         }
     }
 
